--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -18,9 +18,9 @@
     decisions,
     effects,
     events,
+    gossip_queue,
     messages,
     reducer,
-    rumour_queue,
     state as states,
     timers,
 )
@@ -91,7 +91,7 @@
     for first in range(0, count, 100):
         members = tuple(member(i) for i in range(first, min(first + 100, count)))
         reducer.reduce(state, _gossip(START, members, messages.GossipKind.ACK))
-    state.membership.rumours = rumour_queue.Rumours()
+    state.membership.pending_updates = gossip_queue.GossipQueue()
     return state
 
 
--- a/benchmarks/frame_sizes.py
+++ b/benchmarks/frame_sizes.py
@@ -36,7 +36,7 @@
         f"host: {chance.choice(_HOSTS)}\r\nrequest-id: {name}\r\naccept: */*\r\n"
         "user-agent: shop/1\r\naccept-encoding: identity\r\ncaller-service: plans\r\n"
     )
-    terms = messages.CallTerms(
+    terms = messages.CallMetadata(
         service=ids.ServiceName("provisioning"),
         kind=ids.KindName("stock"),
         importance=3,
--- a/benchmarks/quarantine.py
+++ b/benchmarks/quarantine.py
@@ -50,7 +50,7 @@
             self.third_end = made.now
         if self.third_end and not self.all_know:
             states = (n.state.quarantine for n in self._nodes())
-            if all(self.request in known.kept_out for known in states):
+            if all(self.request in known.quarantined for known in states):
                 self.all_know = made.now
 
     def _nodes(self) -> list[parts.FakeNode]:
--- a/benchmarks/reducer_rate.py
+++ b/benchmarks/reducer_rate.py
@@ -88,7 +88,7 @@
         ttl_ms=1e12,
     )
     reducer.reduce(state, announced)
-    terms = messages.CallTerms(
+    terms = messages.CallMetadata(
         service=ids.ServiceName("service-7"),
         kind=ids.KindName("kind-7-3"),
         importance=0,
@@ -104,7 +104,7 @@
     for number in range(1, CALLS + 1):
         hosted = ids.HostedId(number)
         opened = events.OpenReceived(
-            now=now, hosted=hosted, sender=ids.NodeId("e"), call=terms
+            now=now, hosted=hosted, sender=ids.NodeId("e"), metadata=terms
         )
         begun = time.perf_counter()
         reducer.reduce(state, opened)
@@ -125,7 +125,7 @@
         level=ids.Rank(1 << 19), tree_level=ids.Rank(0), load=100, limit=100
     )
     for node in upstreams.candidates(state, ids.ServiceName("service-7")):
-        routing.hear(state, node, "kind-7-3", high)
+        routing.on_load_report(state, node, "kind-7-3", high)
     begun = time.perf_counter()
     for number in range(1, CALLS + 1):
         reducer.reduce(state, _arrival(number, control.START))
@@ -152,7 +152,7 @@
     before = control.rss_mb()
     for index in range(count):
         node = ids.NodeId(f"service-{index % 110}-node-{index}")
-        routing.hear(state, node, "kind-7-3", REPORT)
+        routing.on_load_report(state, node, "kind-7-3", REPORT)
     gc.collect()
     return (control.rss_mb() - before) * 1e6 / count
 
@@ -179,9 +179,9 @@
         for number in range(count)
     ]
     for member in members:
-        member_table.put(state, member, [])
+        member_table.update(state, member, [])
         report = msgspec.structs.replace(REPORT, level=ids.Rank(level))
-        routing.hear(state, member.node, "kind-7-3", report)
+        routing.on_load_report(state, member.node, "kind-7-3", report)
     return state
 
 
--- a/benchmarks/sites.py
+++ b/benchmarks/sites.py
@@ -214,7 +214,7 @@
 
     def _on_effect(self, node: parts.FakeNode, effect: effects.Effect) -> None:
         sent = isinstance(effect, effects.OpenAttempt)
-        if sent and effect.terms.service == self.site.scarce:
+        if sent and effect.metadata.service == self.site.scarce:
             self._sent[effect.call] += 1
 
     def _on_end(self, root: parts.Root) -> None:
--- a/benchmarks/variants.py
+++ b/benchmarks/variants.py
@@ -14,14 +14,14 @@
     allowance,
     arrivals,
     calls,
-    come_back,
     effects,
     hosting,
-    knee,
     level_control,
     ranks,
     rationing,
+    retry_delay,
     routing,
+    saturation,
     sending,
     slot_costs,
     upstream_costs,
@@ -64,9 +64,9 @@
     ) -> None:
         original(state, call, node, out)
         opened = out[-1]
-        left = opened.terms.deadline_ms * _TRY_SHARE
-        terms = msgspec.structs.replace(opened.terms, deadline_ms=left)
-        out[-1] = msgspec.structs.replace(opened, terms=terms)
+        left = opened.metadata.deadline_ms * _TRY_SHARE
+        metadata = msgspec.structs.replace(opened.metadata, deadline_ms=left)
+        out[-1] = msgspec.structs.replace(opened, metadata=metadata)
 
     _set(sending, "_send", send)
 
@@ -175,7 +175,7 @@
 
 def no_rationing() -> None:
     """A short retry budget goes to calls in the order in which they come."""
-    _set(rationing, "cut", lambda wants, supply, now: ranks.LOWEST)
+    _set(rationing, "minimum_rank", lambda wants, supply, now: ranks.LOWEST)
 
 
 def no_going_back() -> None:
@@ -190,7 +190,7 @@
 
 def no_come_back_time() -> None:
     """Refused callers come back after one second, whatever the outlook."""
-    _set(come_back, "after", lambda state, call: come_back.UNKNOWN_MS)
+    _set(retry_delay, "for_call", lambda state, call: retry_delay.UNKNOWN_MS)
 
 
 def no_slow_penalty() -> None:
@@ -215,7 +215,7 @@
 
 def no_knee() -> None:
     """All slots are used, whatever a full backend server takes."""
-    _set(knee, "usable_slots", lambda state: state.backend.slots)
+    _set(saturation, "usable_slots", lambda state: state.backend.slots)
 
 
 def no_spared_share() -> None:
@@ -225,7 +225,7 @@
 
 def no_asking() -> None:
     """Levels that are old are not asked for anew."""
-    _set(routing, "ask_levels", lambda state, service, kind, out: None)
+    _set(routing, "request_levels", lambda state, service, kind, out: None)
 
 
 VARIANTS: dict[str, collections.abc.Callable[[], None]] = {
--- a/benchmarks/workspaces.py
+++ b/benchmarks/workspaces.py
@@ -13,7 +13,7 @@
 
 from gingerturn import routes
 from gingerturn.internal.core import (
-    cap_keeper,
+    cap_allocator,
     caps,
     effects,
     freshness,
@@ -37,8 +37,8 @@
 
 
 CAP_WAYS: dict[str, Patches] = {
-    "equal parts": [(caps, "ask", _nothing), (caps, "HOLD_MS", 0.0)],
-    "each request counted at the keeper": [(cap_keeper, "LEASED_SHARE", 0.0)],
+    "equal parts": [(caps, "request_leases", _nothing), (caps, "HOLD_MS", 0.0)],
+    "each request counted at the keeper": [(cap_allocator, "LEASED_SHARE", 0.0)],
     "leases and single tokens (kept)": [],
 }
 
@@ -161,7 +161,7 @@
         made.load(name, at, rate=rate, duration_ms=4_000.0)
     with unittest.mock.patch.object(caps, "admit", timed):
         made.world.run(4_000.0)
-    keeper = next(iter(made.world.nodes.values())).state.caps.keeper
+    keeper = next(iter(made.world.nodes.values())).state.caps.allocator
     others = [count / 4.0 for name, count in sent.items() if name != keeper]
     usual = sum(others) / max(1, len(others))
     return 1e6 * spent / max(1, admitted), usual, sent.get(keeper, 0) / 4.0
@@ -208,13 +208,13 @@
     for _ in range(int(duration_ms / 50.0)):
         made.run(50.0)
         for node in made.nodes.values():
-            oldest = max(oldest, made.now - node.state.freshness.proven)
+            oldest = max(oldest, made.now - node.state.freshness.verified_at)
             closed += 0.05 * _is_stale(node.state, made.now)
     return oldest, closed
 
 
 def _is_stale(state: states.State, now: float) -> bool:
-    return now - state.freshness.proven > freshness.allowed_ms(state)
+    return now - state.freshness.verified_at > freshness.allowed_ms(state)
 
 
 def compare_keys(sizes: list[int]) -> None:
@@ -244,7 +244,7 @@
     oldest, _ = _watch(made, 6_000.0)
     calm_reads, calm_sent = reads / 6.0, sent / 6.0 / nodes
     made.log.refuses = {
-        n.name for n in made.nodes.values() if member_order.is_head(n.state)
+        n.name for n in made.nodes.values() if member_order.is_zone_first(n.state)
     }
     _, closed = _watch(made, 6_000.0)
     made.log.refuses = set()
@@ -268,7 +268,7 @@
     begun = made.now
     while made.now - begun < 20_000.0:
         made.run(50.0)
-        ages = [made.now - n.state.freshness.proven for n in made.nodes.values()]
+        ages = [made.now - n.state.freshness.verified_at for n in made.nodes.values()]
         if all(map(wanted, ages)):
             break
     return made.now - begun
--- a/src/gingerturn/internal/core/admission.py
+++ b/src/gingerturn/internal/core/admission.py
@@ -10,11 +10,11 @@
 
 from gingerturn.internal import ids
 from gingerturn.internal.core import (
-    knee,
     levels,
     messages,
     ranks,
     routing,
+    saturation,
     slot_costs,
     state as states,
 )
@@ -71,12 +71,12 @@
     backend.limit = min(backend.limit, float(slots))
 
 
-def forget(state: states.State) -> None:
+def reset_measurements(state: states.State) -> None:
     """Forget what was measured of the backend server before a new start of it."""
     backend = state.backend
     backend.level = ranks.LOWEST
     backend.windows = [states.Window()]
-    backend.last_cut = 0.0
+    backend.last_cut_at = 0.0
 
 
 def queue_bound(state: states.State, kind: str) -> int:
@@ -103,25 +103,25 @@
     measured = state.backend.times.get(kind)
     if measured is None:
         return 0.0
-    age = state.now - measured.measured
+    age = state.now - measured.measured_at
     if age <= TIME_HALF_LIFE_MS / 4:
         return measured.mean_ms
     return float(measured.mean_ms * 0.5 ** (age / TIME_HALF_LIFE_MS))
 
 
-def note_time(state: states.State, kind: str, elapsed: float) -> None:
+def record_service_time(state: states.State, kind: str, elapsed: float) -> None:
     """Take in the time of a finished call."""
     measured = state.backend.times.get(kind)
     if measured is None:
         state.backend.times[kind] = states.ServiceTime(
-            mean_ms=elapsed, measured=state.now
+            mean_ms=elapsed, measured_at=state.now
         )
         return
     measured.mean_ms += TIME_WEIGHT * (elapsed - measured.mean_ms)
-    measured.measured = state.now
+    measured.measured_at = state.now
 
 
-def note_arrival(state: states.State, rank: ids.Rank) -> None:
+def record_arrival(state: states.State, rank: ids.Rank) -> None:
     """Count an arriving call in the current window."""
     window = state.backend.windows[-1]
     if len(window.ranks) < MAX_SAMPLES:
@@ -133,19 +133,19 @@
 def has_slot(state: states.State) -> bool:
     """Tell whether a call may be handed over now."""
     backend = state.backend
-    return backend.running < min(int(backend.limit), knee.usable_slots(state))
+    return backend.running < min(int(backend.limit), saturation.usable_slots(state))
 
 
 def take_slot(state: states.State) -> None:
     """Occupy a slot."""
-    account(state)
+    accumulate_busy_time(state)
     state.backend.running += 1
-    state.backend.windows[-1].handed += 1
+    state.backend.windows[-1].dispatched += 1
 
 
 def free_slot(state: states.State) -> None:
     """Give a slot back."""
-    account(state)
+    accumulate_busy_time(state)
     state.backend.running -= 1
 
 
@@ -157,10 +157,10 @@
     backend = state.backend
     entry = (hosted.rank, -state.next_number(), hosted.id)
     bisect.insort(backend.queue, entry)
-    bound = queue_bound(state, hosted.terms.kind)
+    bound = queue_bound(state, hosted.metadata.kind)
     if ranks.is_deep(hosted.rank):
         bound *= _deep_factor(state)
-    _note_queue(state, hosted.terms.kind)
+    _note_queue(state, hosted.metadata.kind)
     if len(backend.queue) <= bound:
         return None
     dropped = backend.queue.pop(0)
@@ -204,19 +204,19 @@
     return backend.running < FULL_SHARE * backend.slots
 
 
-def note_backend_refusal(state: states.State) -> None:
+def record_backend_refusal(state: states.State) -> None:
     """Cut the limit: the backend server itself shed a call."""
     backend = state.backend
     backend.slow_start = False
-    if state.now - backend.last_cut < LIMIT_CUT_EVERY_MS:
+    if state.now - backend.last_cut_at < LIMIT_CUT_EVERY_MS:
         return
     if state.routed and has_room(state):
         return
-    backend.last_cut = state.now
+    backend.last_cut_at = state.now
     backend.limit = max(1.0, min(backend.limit, float(backend.running)) * LIMIT_CUT)
 
 
-def note_backend_success(state: states.State) -> None:
+def record_backend_success(state: states.State) -> None:
     """Let the limit grow after a success, if it was what held calls back."""
     backend = state.backend
     if backend.limit >= backend.slots or backend.running + 1 < int(backend.limit):
@@ -238,9 +238,9 @@
     found = []
     for _, _, hosted_id in backend.queue:
         hosted = state.hosted[hosted_id]
-        deep = hosted.terms.depth > 0
+        deep = hosted.metadata.depth > 0
         factor = _deep_factor(state) if deep else ROOT_WAIT_FACTOR
-        if state.now - hosted.arrived > QUEUE_MS * factor:
+        if state.now - hosted.arrived_at > QUEUE_MS * factor:
             found.append(hosted_id)
     for hosted_id in found:
         remove(state, hosted_id)
@@ -250,7 +250,7 @@
 
 def tree_level(state: states.State, kind: str) -> ids.Rank:
     """Return the level of the services that calls of a kind go on to."""
-    children = state.children_of.get(kind)
+    children = state.child_kinds.get(kind)
     if not children:
         return ranks.LOWEST
     return max(
@@ -259,31 +259,31 @@
     )
 
 
-def ask_below(state: states.State, kind: str, out: states.Effects) -> None:
+def request_child_levels(state: states.State, kind: str, out: states.Effects) -> None:
     """Ask the services that calls of a kind go on to for their present levels."""
-    for service, child in state.children_of.get(kind, {}):
-        routing.ask_levels(state, ids.ServiceName(service), child, out)
+    for service, child in state.child_kinds.get(kind, {}):
+        routing.request_levels(state, ids.ServiceName(service), child, out)
 
 
-def report(state: states.State, kind: str) -> messages.LoadReport:
+def load_report(state: states.State, kind: str) -> messages.LoadReport:
     """Return the load report that rides on an answer."""
     backend = state.backend
     cost = slot_costs.report_of(state, kind)
-    word = levels.told_of(state, cost.service)
+    word = levels.latest_report(state, cost.service)
     return messages.LoadReport(
         level=backend.level,
         tree_level=tree_level(state, kind),
         load=backend.running + len(backend.queue),
         limit=int(backend.limit),
         leaving=backend.leaving or state.departed,
-        scarce=cost.service,
-        slot_ms=round(cost.slot_ms),
-        scarce_level=word.level,
-        scarce_age_ms=round(state.now - word.heard),
+        bottleneck=cost.service,
+        bottleneck_slot_ms=round(cost.slot_ms),
+        bottleneck_level=word.level,
+        bottleneck_age_ms=round(state.now - word.reported_at),
     )
 
 
-def come_back_after(state: states.State, rank: int, level: int) -> float:
+def retry_after_ms(state: states.State, rank: int, level: int) -> float:
     """Return when a refused caller should come back, in ms.
 
     From the observed state: a level falls by one band in about a second once
@@ -295,7 +295,7 @@
     return base * (1.0 + state.random.random())
 
 
-def account(state: states.State) -> None:
+def accumulate_busy_time(state: states.State) -> None:
     """Count the slot time since it was last counted to the present window."""
     backend = state.backend
     elapsed = state.now - backend.running_since
--- a/src/gingerturn/internal/core/allowance.py
+++ b/src/gingerturn/internal/core/allowance.py
@@ -69,10 +69,10 @@
     recent: float = 0.0
     counted: float = 0.0
     share: float = 0.0
-    wants: rationing.Wants = msgspec.field(default_factory=rationing.Wants)
+    wants: rationing.RetryDemand = msgspec.field(default_factory=rationing.RetryDemand)
 
 
-def count_first(budget: Budget, now: float, window_ms: float) -> None:
+def record_first_attempt(budget: Budget, now: float, window_ms: float) -> None:
     """Count a first attempt; earlier ones fade over the window."""
     elapsed = max(0.0, now - budget.counted)
     budget.counted = now
@@ -90,7 +90,7 @@
     return part + BURST_SHARE * bound.ratio * budget.recent
 
 
-def draw(budget: Budget) -> None:
+def charge_forced_repeat(budget: Budget) -> None:
     """Take out a repeat that is made in any case: a call of a repeated request."""
     budget.held -= 1.0
 
@@ -109,7 +109,7 @@
     return True
 
 
-def part_for_attempt(tokens: int) -> int:
+def tokens_for_attempt(tokens: int) -> int:
     """Return how many tokens an attempt takes along.
 
     Half, rounded down: the sender keeps at least as many, so that a call that
@@ -118,12 +118,12 @@
     return tokens // 2
 
 
-def part_for_child(tokens: int) -> int:
+def tokens_for_child(tokens: int) -> int:
     """Return how many tokens a child call takes: half, rounded up, since calls
     of one parent mostly follow one another and give back what they leave."""
     return (tokens + 1) // 2
 
 
-def returned(*, taken: int, reported: int) -> int:
+def returned_tokens(*, taken: int, reported: int) -> int:
     """Return the tokens to put back; a peer cannot return more than it took."""
     return max(0, min(taken, reported))
--- a/src/gingerturn/internal/core/arrivals.py
+++ b/src/gingerturn/internal/core/arrivals.py
@@ -21,14 +21,14 @@
 """The roots that are spared: those whose hash goes last in the shedding order."""
 
 
-def parent_of(state: states.State, event: events.CallArrived) -> states.Hosted | None:
+def find_parent(state: states.State, event: events.CallArrived) -> states.Hosted | None:
     """Return the call that runs here on whose behalf a request comes, if any.
 
     A request with an API key is one of its own, whatever its id says.
     """
     if event.key_digest:
         return None
-    hosted = state.spans.get(event.span)
+    hosted = state.hosted_by_span.get(event.span)
     return None if hosted is None else state.hosted.get(hosted)
 
 
@@ -61,11 +61,11 @@
         key="" if rule.repeatable else event.key,
         key_derived=False,
         replayable=event.replayable,
-        arrived=event.now,
-        first=not event.key or rule.repeatable or event.sending == 1,
+        arrived_at=event.now,
+        never_ran=not event.key or rule.repeatable or event.sending == 1,
         holder="" if rule.repeatable else event.holder,
         fingerprint=event.fingerprint,
-        tried=[],
+        tried_upstreams=[],
     )
 
 
@@ -76,7 +76,7 @@
     parent: states.Hosted,
 ) -> states.Call:
     """Return a part of a request that runs here as a call."""
-    terms = parent.terms
+    terms = parent.metadata
     importance = terms.importance
     if not state.routed:
         importance = max(importance, rule.importance)
@@ -89,12 +89,12 @@
         # one, would leave a call in a tree without any.
         tokens = rule.retry_allowance
     else:
-        tokens = allowance.part_for_child(parent.tokens)
+        tokens = allowance.tokens_for_child(parent.tokens)
         parent.tokens -= tokens
-    seen = state.children_of.setdefault(terms.kind, {})
+    seen = state.child_kinds.setdefault(terms.kind, {})
     service = rule.service or event.service
     seen[(service, rule.name)] = event.now
-    slot_costs.note_call(state.costs, terms.kind, service, rule.name)
+    slot_costs.record_child_call(state.costs, terms.kind, service, rule.name)
     timeout = float(rule.timeout_ms)
     if event.timeout_ms > 0:
         timeout = min(timeout, event.timeout_ms)
@@ -122,12 +122,12 @@
         key=key,
         key_derived=derived,
         replayable=event.replayable,
-        arrived=event.now,
+        arrived_at=event.now,
         parent=parent.id,
-        first=terms.first and (not event.key or event.sending == 1),
+        never_ran=terms.never_ran and (not event.key or event.sending == 1),
         holder="" if rule.repeatable else event.holder,
         fingerprint=event.fingerprint,
-        tried=[],
+        tried_upstreams=[],
     )
 
 
@@ -145,7 +145,7 @@
     what = f"{event.service} {event.method} {event.path} {event.body_digest}"
     ordinal = parent.children.get(what, 0)
     parent.children[what] = ordinal + 1
-    identity = f"{parent.terms.root:016x} {what} {ordinal}"
+    identity = f"{parent.metadata.root:016x} {what} {ordinal}"
     return hashlib.blake2b(identity.encode(), digest_size=16).hexdigest()
 
 
--- a/src/gingerturn/internal/core/backend_ends.py
+++ b/src/gingerturn/internal/core/backend_crashes.py
@@ -6,7 +6,7 @@
 """
 
 from gingerturn.internal import ids
-from gingerturn.internal.core import effects, outbox, quarantine, state as states
+from gingerturn.internal.core import effects, operator_log, quarantine, state as states
 
 MAX_BROKEN = quarantine.MAX_REQUESTS
 """Broken calls remembered, those that broke first: as many as news of an end tells."""
@@ -21,17 +21,17 @@
 _AT_WORK = frozenset({states.HostedState.RUNNING, states.HostedState.STREAMING})
 
 
-def note_broken(
+def record_broken_call(
     state: states.State, hosted: states.Hosted, out: states.Effects
 ) -> None:
     """Remember a call whose connection broke, and find out why it did."""
     backend = state.backend
-    backend.broken = _since_answered(backend)
-    if len(backend.broken) < MAX_BROKEN:
-        call = states.BrokenCall(hosted.terms.fingerprint, state.now)
-        backend.broken.append(call)
-    if not backend.checking:
-        backend.checking = True
+    backend.broken_calls = _since_answered(backend)
+    if len(backend.broken_calls) < MAX_BROKEN:
+        call = states.BrokenCall(hosted.metadata.fingerprint, state.now)
+        backend.broken_calls.append(call)
+    if not backend.check_pending:
+        backend.check_pending = True
         out.append(effects.CheckBackend(host=backend.host, port=backend.port))
 
 
@@ -41,14 +41,14 @@
     :return: whether it ended by itself.
     """
     backend = state.backend
-    backend.checking = False
-    if not refused or not backend.broken:
+    backend.check_pending = False
+    if not refused or not backend.broken_calls:
         return False
     _note_end(state, out)
     return True
 
 
-def on_started_anew(state: states.State, out: states.Effects) -> None:
+def on_restarted(state: states.State, out: states.Effects) -> None:
     """Take in that the backend server started anew under the calls that it was at.
 
     It tells of ends that no connection told: something between node and backend server
@@ -56,7 +56,7 @@
     former start answered again were lost for another reason.
     """
     backend = state.backend
-    backend.broken = _since_answered(backend)
+    backend.broken_calls = _since_answered(backend)
     if _under_way(state):
         _note_end(state, out)
 
@@ -67,31 +67,31 @@
     Those that broke later than the first ones stay behind them: where something in
     between takes connections for a backend server that is down, all calls break.
     """
-    horizon = backend.answered - TOGETHER_MS
-    return [call for call in backend.broken if call.at >= horizon]
+    horizon = backend.answered_at - TOGETHER_MS
+    return [call for call in backend.broken_calls if call.broken_at >= horizon]
 
 
 def _note_end(state: states.State, out: states.Effects) -> None:
     """Hold an end against what was under way; a planned one is no fault of it."""
     backend = state.backend
     at_work = _under_way(state)
-    backend.broken = []
-    backend.ends += 1
+    backend.broken_calls = []
+    backend.crash_count += 1
     told = " ".join(ids.fingerprint_text(request) for request in at_work[:TOLD])
     text = (
         f"{backend.service} {backend.instance} ended with {len(at_work)} requests"
         f" under way: {told}."
     )
-    outbox.warn(out, "backend", text)
+    operator_log.warn(out, "backend", text)
     if not backend.leaving:
-        quarantine.note_end(state, at_work, out)
+        quarantine.record_crash(state, at_work, out)
 
 
 def _under_way(state: states.State) -> list[ids.Fingerprint]:
     """Return the requests that the backend server was at when it ended, each once."""
-    fingerprints = [call.fingerprint for call in state.backend.broken]
+    fingerprints = [call.fingerprint for call in state.backend.broken_calls]
     fingerprints += [
-        hosted.terms.fingerprint
+        hosted.metadata.fingerprint
         for hosted in state.hosted.values()
         if hosted.state in _AT_WORK
     ]
--- a/src/gingerturn/internal/core/calls.py
+++ b/src/gingerturn/internal/core/calls.py
@@ -8,14 +8,14 @@
     allowance,
     arrivals,
     caps,
-    come_back,
     decisions,
     effects,
     events,
     keys,
     messages,
-    outbox,
+    operator_log,
     refusals,
+    retry_delay,
     route_table,
     routing,
     sending,
@@ -78,7 +78,7 @@
     state: states.State, event: events.CallArrived, out: states.Effects
 ) -> None:
     """Classify a call, tie it to its parent, and send it or refuse it."""
-    parent = arrivals.parent_of(state, event)
+    parent = arrivals.find_parent(state, event)
     workspace = ids.WorkspaceName("")
     if state.routed:
         resolved = route_table.resolve(state, event, parent)
@@ -142,17 +142,17 @@
         return
     call = _returned(state, attempt, event.tokens, event.report)
     failed = event.status >= FIRST_FAILURE_STATUS and not event.child_failed
-    upstreams.note_answer(state, attempt.node, failed=failed)
+    upstreams.record_answer(state, attempt.node, failed=failed)
     if call is None:
         return
     if event.status < FIRST_FAILURE_STATUS:
-        elapsed = state.now - attempt.sent
+        elapsed = state.now - attempt.sent_at
         kind = call.rule.name
-        upstream_costs.note_traffic(state, attempt.node, kind, elapsed, event.size)
+        upstream_costs.record_traffic(state, attempt.node, kind, elapsed, event.size)
     call.attempt = None
     if _worth_repeating(state, call, event):
-        call.first = False
-        call.tried.append(attempt.node)
+        call.never_ran = False
+        call.tried_upstreams.append(attempt.node)
         if sending.retry(state, call, out):
             return
     decision = refusals.decide(
@@ -164,7 +164,9 @@
         status=event.status,
     )
     if call.parent is None and not failed:
-        come_back.note_answer(state, call.rule.name, state.now - call.arrived)
+        retry_delay.record_answer_time(
+            state, call.rule.name, state.now - call.arrived_at
+        )
     out.append(effects.RelayAnswer(call=call.id, attempt=attempt.id, decision=decision))
     refusals.finish(state, call, failed=event.status >= FIRST_FAILURE_STATUS)
 
@@ -178,8 +180,8 @@
         return
     call = _returned(state, attempt, event.tokens, event.report)
     rule = decisions.Rule(event.refusal.rule)
-    own_failure = event.refusal.arrived or rule in _UNCLEAR_RULES
-    upstreams.note_answer(state, attempt.node, failed=own_failure)
+    own_failure = event.refusal.reached_backend or rule in _UNCLEAR_RULES
+    upstreams.record_answer(state, attempt.node, failed=own_failure)
     if rule in _ABSENT_RULES:
         upstream = upstreams.upstream_of(state, attempt.node)
         avoid = AVOID_LEAVING_MS if event.report.leaving else AVOID_MS
@@ -187,19 +189,19 @@
     if call is None:
         return
     call.attempt = None
-    call.cleared = event.refusal.outcome is messages.Outcome.NOT_RUN
-    call.tried.append(attempt.node)
+    call.attempts_settled = event.refusal.outcome is messages.Outcome.NOT_RUN
+    call.tried_upstreams.append(attempt.node)
     if event.refusal.holder:
-        sending.go_to_holder(state, call, event.refusal, out)
+        sending.redirect_to_holder(state, call, event.refusal, out)
     elif event.refusal.outcome is messages.Outcome.ALREADY_RUN:
         refusals.refuse(state, call, rule, out, remote=event.refusal)
     elif event.refusal.outcome is messages.Outcome.UNKNOWN:
-        call.first = False
+        call.never_ran = False
         hopeless = rule in _NO_REPEAT_RULES or not sending.may_repeat(call)
         if hopeless or not sending.retry(state, call, out):
             refusals.refuse(state, call, rule, out, remote=event.refusal)
-    elif event.refusal.arrived:
-        room = event.refusal.room
+    elif event.refusal.reached_backend:
+        room = event.refusal.had_free_slots
         if not sending.retry(state, call, out, ran=False, room=room):
             refusals.refuse(state, call, rule, out, remote=event.refusal)
     elif rule in _FINAL_RULES or not sending.redirect(state, call, out):
@@ -214,26 +216,30 @@
     if attempt is None:
         return
     _note_returned(state, attempt)
-    if upstreams.note_failure(state, attempt.node):
-        outbox.warn(out, "routing", f"Upstream {attempt.node} ejected after losses.")
+    if upstreams.record_failure(state, attempt.node):
+        operator_log.warn(
+            out, "routing", f"Upstream {attempt.node} ejected after losses."
+        )
     call = state.calls.get(attempt.call)
     if call is None:
         return
     call.attempt = None
-    call.tried.append(attempt.node)
+    call.tried_upstreams.append(attempt.node)
     if not event.reached:
-        call.cleared = True
+        call.attempts_settled = True
         call.tokens += attempt.tokens
         if not sending.redirect(state, call, out):
             refusals.refuse(state, call, decisions.Rule.NO_UPSTREAM, out)
         return
-    call.first = False
+    call.never_ran = False
     if sending.may_repeat(call) and sending.retry(state, call, out):
         return
     refusals.refuse(state, call, decisions.Rule.OUTCOME_UNKNOWN, out)
 
 
-def on_node_silent(state: states.State, node: ids.NodeId, out: states.Effects) -> None:
+def on_node_unresponsive(
+    state: states.State, node: ids.NodeId, out: states.Effects
+) -> None:
     """Send repeatable calls that wait at a silent node to another one.
 
     Those that may not repeat, or find no other upstream, go on waiting: the node may
@@ -248,8 +254,8 @@
             or not sending.can_go_elsewhere(state, call)
         ):
             continue
-        call.first = False
-        call.tried.append(node)
+        call.never_ran = False
+        call.tried_upstreams.append(node)
         _cancel_attempt(state, call, out)
         sending.retry(state, call, out)
 
@@ -258,20 +264,20 @@
     """Answer every call that is still held, since the process is about to end."""
     for call in list(state.calls.values()):
         if call.attempt is not None:
-            call.first = False
+            call.never_ran = False
         _cancel_attempt(state, call, out)
         refusals.refuse(state, call, decisions.Rule.STOPPING, out)
 
 
-def on_level_told(
-    state: states.State, event: events.LevelTold, out: states.Effects
+def on_level_reported(
+    state: states.State, event: events.LevelReported, out: states.Effects
 ) -> None:
     """Take in an upstream's answer to a question about its level."""
     upstream = upstreams.upstream_of(state, event.node)
-    sent = upstream.since_report
+    sent = upstream.sent_since_report
     _hear(state, event.node, event.kind, event.report)
     # What was sent meanwhile may not be in the load that was told.
-    upstream.since_report = sent
+    upstream.sent_since_report = sent
 
 
 def on_deadline(state: states.State, call_id: ids.CallId, out: states.Effects) -> None:
@@ -281,8 +287,8 @@
         return
     attempt = None if call.attempt is None else state.attempts.get(call.attempt)
     if attempt is not None:
-        call.first = False
-        upstreams.note_failure(state, attempt.node)
+        call.never_ran = False
+        upstreams.record_failure(state, attempt.node)
     _cancel_attempt(state, call, out)
     refusals.refuse(state, call, decisions.Rule.DEADLINE_PASSED, out)
 
@@ -340,15 +346,15 @@
     kind = call.rule.name if call is not None else ""
     _hear(state, attempt.node, kind, report)
     if call is not None:
-        call.tokens += allowance.returned(taken=attempt.tokens, reported=tokens)
+        call.tokens += allowance.returned_tokens(taken=attempt.tokens, reported=tokens)
     return call
 
 
 def _hear(
     state: states.State, node: ids.NodeId, kind: str, report: messages.LoadReport
 ) -> None:
-    routing.hear(state, node, kind, report)
-    slot_costs.hear(state.costs, kind, report)
+    routing.on_load_report(state, node, kind, report)
+    slot_costs.on_report(state.costs, kind, report)
 
 
 def _note_returned(state: states.State, attempt: states.Attempt) -> None:
--- a/src/gingerturn/internal/core/cap_keeper.py
+++ b/src/gingerturn/internal/core/cap_allocator.py
@@ -46,14 +46,16 @@
 is replaced."""
 
 
-def answer(
-    state: states.State, node: ids.NodeId, ask: messages.CapAsk
+def grant(
+    state: states.State, node: ids.NodeId, ask: messages.CapRequest
 ) -> messages.CapAnswer:
     """Take in a node's loan and demand, and lease it what it may use."""
-    keeper = state.cap_keeper
+    keeper = state.cap_allocator
     if ask.stamp > 0.0:
-        keeper.loans[node] = max(keeper.loans.get(node, 0.0), ask.stamp + TERM_MS)
-    cap_window.note_share(state, lent_share(state))
+        keeper.delegations[node] = max(
+            keeper.delegations.get(node, 0.0), ask.stamp + TERM_MS
+        )
+    cap_window.record_share(state, current_share(state))
     leases = []
     for demand in ask.demands:
         cap = None if state.routes is None else state.routes.workspace(demand.workspace)
@@ -62,52 +64,54 @@
     return messages.CapAnswer(number=ask.number, stamp=state.now, leases=tuple(leases))
 
 
-def lent_share(state: states.State) -> float:
+def current_share(state: states.State) -> float:
     """Return the share of every cap that is lent to this node at present."""
-    loans = state.cap_keeper.loans
+    loans = state.cap_allocator.delegations
     for node in [node for node, until in loans.items() if until <= state.now]:
         del loans[node]
-    return min(1.0, len(loans) / member_order.owners(state))
+    return min(1.0, len(loans) / member_order.cap_sharer_count(state))
 
 
-def hand_over(state: states.State) -> messages.CapHandover:
+def export_handover(state: states.State) -> messages.CapHandover:
     """Return what the next keeper has to know, and cease to lease anything."""
-    keeper = state.cap_keeper
-    cap_window.note_share(state, lent_share(state))
+    keeper = state.cap_allocator
+    cap_window.record_share(state, current_share(state))
     message = messages.CapHandover(
-        share=keeper.share,
-        loans=tuple((node, until - state.now) for node, until in keeper.loans.items()),
+        share=keeper.delegated_share,
+        delegations=tuple(
+            (node, until - state.now) for node, until in keeper.delegations.items()
+        ),
         used=tuple(
-            cap_window.use_of(state, name, window)
+            cap_window.usage_of(state, name, window)
             for name, window in keeper.windows.items()
         ),
     )
     # Should it keep the caps once more, it begins like one that knows nothing.
-    keeper.share = 0.0
-    keeper.shares.clear()
-    keeper.loans.clear()
+    keeper.delegated_share = 0.0
+    keeper.delegated_shares.clear()
+    keeper.delegations.clear()
     keeper.windows.clear()
     keeper.grants.clear()
     return message
 
 
-def inherit(state: states.State, message: messages.CapHandover) -> None:
+def import_handover(state: states.State, message: messages.CapHandover) -> None:
     """Go on as the keeper where another one stops."""
-    cap_window.inherit(state, message)
-    loans = state.cap_keeper.loans
-    for node, left_ms in message.loans:
+    cap_window.import_usage(state, message)
+    loans = state.cap_allocator.delegations
+    for node, left_ms in message.delegations:
         until = state.now + min(left_ms, TERM_MS)
         loans[ids.NodeId(node)] = max(until, loans.get(ids.NodeId(node), 0.0))
 
 
-def forget(state: states.State, now: ids.Milliseconds) -> None:
+def prune(state: states.State, now: ids.Milliseconds) -> None:
     """Drop what has ended."""
-    grants = state.cap_keeper.grants
+    grants = state.cap_allocator.grants
     for workspace, by_node in list(grants.items()):
         _prune(by_node, now)
         if not by_node:
             del grants[workspace]
-    cap_window.forget(state)
+    cap_window.prune(state)
 
 
 def _lease(
@@ -116,28 +120,28 @@
     cap: routes.Workspace,
     demand: messages.CapDemand,
 ) -> messages.CapLease:
-    window = state.cap_keeper.windows.setdefault(cap.name, states.CapWindow())
-    by_node = state.cap_keeper.grants.setdefault(cap.name, {})
+    window = state.cap_allocator.windows.setdefault(cap.name, states.CapWindow())
+    by_node = state.cap_allocator.grants.setdefault(cap.name, {})
     before = by_node.pop(node, None)
     _prune(by_node, state.now)
     if before is not None:
         _take_back(state, window, before, demand)
-    left = cap_window.left(state, window, cap)
+    left = cap_window.remaining(state, window, cap)
     wanted = demand.rate_milli / 1_000.0
     asked_for = wanted + sum(grant.demand for grant in by_node.values())
     rate_milli = int(1_000.0 * _fair_rate(state, cap, wanted, asked_for, left))
     depth = cap_buckets.depth_of(rate_milli)
     held = sum(grant.depth for grant in by_node.values())
-    if depth + held > DEPTHS_SHARE * state.cap_tolerance.beyond(cap):
+    if depth + held > DEPTHS_SHARE * state.cap_tolerance.allowed_excess(cap):
         rate_milli = 0
         depth = 0.0
     leased = rate_milli * TERM_MS / 1e6
-    tokens = max(0, min(demand.need, int(left - leased)))
+    tokens = max(0, min(demand.waiting, int(left - leased)))
     until = state.now + TERM_MS
     cap_window.charge(state, window, tokens)
     cap_window.charge_lease(state, window, rate_milli, until)
     by_node[node] = states.CapGrant(
-        demand=wanted, rate_milli=rate_milli, depth=depth, until=until
+        demand=wanted, rate_milli=rate_milli, depth=depth, expires_at=until
     )
     none_left = left - leased - tokens < 1.0
     return messages.CapLease(cap.name, rate_milli, tokens, none_left)
@@ -150,10 +154,10 @@
     demand: messages.CapDemand,
 ) -> None:
     """Take back what is certainly not let pass by a node's earlier lease."""
-    cap_window.take_back(state, window, demand.spilled_milli / 1_000.0)
-    if demand.held_milli == before.rate_milli:
+    cap_window.refund(state, window, demand.overflowed_milli / 1_000.0)
+    if demand.leased_milli == before.rate_milli:
         # Otherwise it did not get that lease, and goes on by the one before it.
-        cap_window.charge_lease(state, window, -before.rate_milli, before.until)
+        cap_window.charge_lease(state, window, -before.rate_milli, before.expires_at)
 
 
 def _fair_rate(
@@ -173,5 +177,5 @@
 
 
 def _prune(by_node: dict[ids.NodeId, states.CapGrant], now: ids.Milliseconds) -> None:
-    for node in [node for node, grant in by_node.items() if grant.until <= now]:
+    for node in [node for node, grant in by_node.items() if grant.expires_at <= now]:
         del by_node[node]
--- a/src/gingerturn/internal/core/cap_buckets.py
+++ b/src/gingerturn/internal/core/cap_buckets.py
@@ -38,12 +38,12 @@
     buckets = state.caps.buckets
     bucket = buckets.get(workspace)
     if bucket is None:
-        bucket = states.Bucket(filled=state.now, counted_from=state.now)
+        bucket = states.Bucket(refilled_at=state.now, counted_from=state.now)
         buckets[workspace] = bucket
     return bucket
 
 
-def take(state: states.State, cap: routes.Workspace) -> bool:
+def take_token(state: states.State, cap: routes.Workspace) -> bool:
     """Take a token, if there is one."""
     bucket = bucket_of(state, cap.name)
     refill(state, bucket, cap)
@@ -53,7 +53,7 @@
     return True
 
 
-def give_back(state: states.State, workspace: str) -> None:
+def return_token(state: states.State, workspace: str) -> None:
     """Give the token of a request back that was certainly not run."""
     bucket = state.caps.buckets.get(workspace)
     if bucket is not None:
@@ -63,15 +63,15 @@
 def refill(state: states.State, bucket: states.Bucket, cap: routes.Workspace) -> None:
     """Add what came in since the last time."""
     now = state.now
-    leased = min(now, bucket.lease_until) - bucket.filled
+    leased = min(now, bucket.lease_until) - bucket.refilled_at
     if leased > 0.0:
         came_in = bucket.rate_milli * leased / 1e6
-        bucket.spilled += _add(bucket, came_in, depth_of(bucket.rate_milli))
-    own_from = max(bucket.filled, bucket.lease_until, state.caps.lent_until)
+        bucket.overflowed += _add(bucket, came_in, depth_of(bucket.rate_milli))
+    own_from = max(bucket.refilled_at, bucket.lease_until, state.caps.delegated_until)
     if now > own_from:
-        part = cap.rate / member_order.owners(state)
+        part = cap.rate / member_order.cap_sharer_count(state)
         _add(bucket, part * (now - own_from) / 1_000.0, 1.0)
-    bucket.filled = now
+    bucket.refilled_at = now
 
 
 def depth_of(rate_milli: int) -> float:
@@ -86,7 +86,7 @@
     return max(0.0, tokens - room)
 
 
-def lease(
+def apply_lease(
     state: states.State,
     bucket: states.Bucket,
     cap: routes.Workspace,
@@ -101,31 +101,31 @@
     """
     refill(state, bucket, cap)
     over = max(0.0, bucket.tokens - depth_of(rate_milli))
-    bucket.spilled += over
+    bucket.overflowed += over
     bucket.tokens += tokens - over
     bucket.rate_milli = rate_milli
     bucket.lease_until = max(bucket.lease_until, until)
 
 
-def note_demand(state: states.State, bucket: states.Bucket) -> float:
+def record_demand(state: states.State, bucket: states.Bucket) -> float:
     """Return requests a second that were asked for, up to now."""
     elapsed = state.now - bucket.counted_from
     if elapsed <= 0.0:
         return bucket.demand
-    seen = bucket.count * 1_000.0 / max(elapsed, LEAST_WAIT_MS)
+    seen = bucket.request_count * 1_000.0 / max(elapsed, LEAST_WAIT_MS)
     half_life = 1_000.0 * DEMAND_REQUESTS / max(bucket.demand, 1e-3)
     half_life = max(LEAST_HALF_LIFE_MS, min(half_life, MOST_HALF_LIFE_MS))
     kept = math.exp2(-elapsed / half_life)
-    if bucket.count >= DEMAND_REQUESTS and seen > 2.0 * bucket.demand:
+    if bucket.request_count >= DEMAND_REQUESTS and seen > 2.0 * bucket.demand:
         # So many more than usual are no chance either.
         kept = 0.0
     bucket.demand = kept * bucket.demand + (1.0 - kept) * seen
-    bucket.count = 0
+    bucket.request_count = 0
     bucket.counted_from = state.now
     return bucket.demand
 
 
-def come_back_after(state: states.State, cap: routes.Workspace) -> ids.Milliseconds:
+def retry_after_ms(state: states.State, cap: routes.Workspace) -> ids.Milliseconds:
     """Return when a refused caller should come back, in ms.
 
     Callers are given the tokens that will come in one after the other, so that they
@@ -137,9 +137,9 @@
         return COME_BACK_MS * jitter
     token_ms = 1e6 / bucket.rate_milli
     first = state.now + (1.0 - bucket.tokens) * token_ms
-    bucket.promised = max(first, bucket.promised + token_ms)
-    wait = bucket.promised - state.now
+    bucket.promised_token_at = max(first, bucket.promised_token_at + token_ms)
+    wait = bucket.promised_token_at - state.now
     if wait > MOST_WAIT_MS:
-        bucket.promised = state.now + MOST_WAIT_MS
+        bucket.promised_token_at = state.now + MOST_WAIT_MS
         return MOST_WAIT_MS / jitter
     return max(LEAST_WAIT_MS, wait) * jitter
--- a/src/gingerturn/internal/core/cap_window.py
+++ b/src/gingerturn/internal/core/cap_window.py
@@ -22,10 +22,12 @@
     """Return how many requests a cap lets pass in a window."""
     tolerance = state.cap_tolerance
     named = cap.rate * tolerance.window_ms / 1_000.0 + cap.burst
-    return named + TOLERANCE_USED * tolerance.beyond(cap)
+    return named + TOLERANCE_USED * tolerance.allowed_excess(cap)
 
 
-def left(state: states.State, window: states.CapWindow, cap: routes.Workspace) -> float:
+def remaining(
+    state: states.State, window: states.CapWindow, cap: routes.Workspace
+) -> float:
     """Return how many requests this node may still let be passed now."""
     # The present slice has only begun, so that a whole one more belongs to the window.
     oldest = slice_at(state) - SLICES
@@ -37,18 +39,18 @@
         for number in window.slices:
             window.slices[number] *= total / window.total
     window.total = total
-    return total * state.cap_keeper.share - used(window)
+    return total * state.cap_allocator.delegated_share - used(window)
 
 
-def note_share(state: states.State, lent: float) -> None:
+def record_share(state: states.State, lent: float) -> None:
     """Take in which share of all caps is lent to this node at present.
 
     It may give that share, but at most what it was lent in the mean of the window: what
     others let pass by loans to them a moment ago still counts.
     """
-    keeper = state.cap_keeper
+    keeper = state.cap_allocator
     now = slice_at(state)
-    shares = keeper.shares
+    shares = keeper.delegated_shares
     for number in [n for n in shares if n < now - SLICES]:
         del shares[number]
     last = max(shares, default=now)
@@ -57,7 +59,7 @@
         shares.update(dict.fromkeys(range(last + 1, now), between))
     shares[now] = min(lent, shares.get(now, lent))
     lately = sum(share for number, share in shares.items() if number < now)
-    keeper.share = min(lent, lately / SLICES)
+    keeper.delegated_share = min(lent, lately / SLICES)
 
 
 def used(window: states.CapWindow) -> float:
@@ -65,9 +67,9 @@
     return sum(window.slices.values())
 
 
-def use_of(
+def usage_of(
     state: states.State, workspace: str, window: states.CapWindow
-) -> messages.CapUse:
+) -> messages.CapUsage:
     """Return what was let pass of a workspace, for the next keeper."""
     now = slice_at(state)
     first = min(window.slices, default=now)
@@ -76,26 +78,26 @@
         int(1_000.0 * window.slices.get(number, 0.0))
         for number in range(first, last + 1)
     )
-    return messages.CapUse(workspace, first - now, tuple(milli))
+    return messages.CapUsage(workspace, first - now, tuple(milli))
 
 
-def inherit(state: states.State, message: messages.CapHandover) -> None:
+def import_usage(state: states.State, message: messages.CapHandover) -> None:
     """Go on with the windows of a keeper that stops, beside those of the own."""
-    keeper = state.cap_keeper
+    keeper = state.cap_allocator
     now = slice_at(state)
     for number in range(now - SLICES, now):
-        own = keeper.shares.get(number, 0.0)
-        keeper.shares[number] = min(1.0, own + message.share)
+        own = keeper.delegated_shares.get(number, 0.0)
+        keeper.delegated_shares[number] = min(1.0, own + message.share)
     for use in message.used:
         window = keeper.windows.setdefault(use.workspace, states.CapWindow())
         for index, milli in enumerate(use.slices_milli):
             _add(window, now + use.first + index, milli / 1_000.0)
 
 
-def forget(state: states.State) -> None:
+def prune(state: states.State) -> None:
     """Drop the windows in which nothing was let pass."""
     oldest = slice_at(state) - SLICES
-    windows = state.cap_keeper.windows
+    windows = state.cap_allocator.windows
     for name, window in list(windows.items()):
         if max(window.slices, default=0) < oldest:
             del windows[name]
@@ -106,7 +108,7 @@
     _add(window, slice_at(state), requests)
 
 
-def take_back(state: states.State, window: states.CapWindow, requests: float) -> None:
+def refund(state: states.State, window: states.CapWindow, requests: float) -> None:
     """Count requests as not let pass that were counted some time ago.
 
     From the oldest slices first. Taken from the present one, they would be missing
--- a/src/gingerturn/internal/core/caps.py
+++ b/src/gingerturn/internal/core/caps.py
@@ -14,16 +14,16 @@
 from gingerturn import routes
 from gingerturn.internal import ids
 from gingerturn.internal.core import (
+    cap_allocator,
     cap_buckets,
-    cap_keeper,
     decisions,
     effects,
     member_order,
     messages,
-    outbox,
+    operator_log,
     refusals,
     sending,
-    settling,
+    startup_waits,
     state as states,
 )
 
@@ -93,19 +93,19 @@
     cap = _cap_of(state, call)
     if cap is None:
         if call.workspace:
-            _use_of(state, call.workspace).passed += 1
+            _use_of(state, call.workspace).admitted += 1
         return True
     bucket = cap_buckets.bucket_of(state, cap.name)
-    bucket.count += 1
-    bucket.drawn = state.now
+    bucket.request_count += 1
+    bucket.last_request_at = state.now
     if _draw(state, call, cap):
         return True
     leased = bucket.lease_until > state.now
-    if (leased and bucket.short) or len(state.caps.held) >= MAX_HELD:
+    if (leased and bucket.short) or len(state.caps.waiting_calls) >= MAX_HELD:
         _refuse(state, call, cap, out)
         return False
-    wait = HOLD_SETTLING_MS if settling.is_settling(state) else HOLD_MS
-    state.caps.held[call.id] = state.now + wait
+    wait = HOLD_SETTLING_MS if startup_waits.is_starting_up(state) else HOLD_MS
+    state.caps.waiting_calls[call.id] = state.now + wait
     _ask_for_held(state, out)
     return False
 
@@ -118,16 +118,16 @@
     if state.stopping:
         _hand_over(state, out)
     _give_up_silent(state)
-    pause = ASK_AGAIN_MS if caps.silent_since else ASK_EVERY_MS
-    if now - caps.renewed >= pause:
+    pause = ASK_AGAIN_MS if caps.unanswered_since else ASK_EVERY_MS
+    if now - caps.renewed_at >= pause:
         _drop_idle(state)
-        cap_keeper.forget(state, now)
-        ask(state, list(caps.buckets), out)
-    place_held(state, out)
+        cap_allocator.prune(state, now)
+        request_leases(state, list(caps.buckets), out)
+    admit_waiting(state, out)
     _ask_for_held(state, out)
 
 
-def ask(state: states.State, names: list[str], out: states.Effects) -> None:
+def request_leases(state: states.State, names: list[str], out: states.Effects) -> None:
     """Tell the keeper what is wanted here, and lend it the own parts.
 
     :param names: the workspaces to ask for.
@@ -135,9 +135,9 @@
     caps = state.caps
     _choose_keeper(state, out)
     if len(names) == len(caps.buckets):
-        caps.renewed = state.now
-    caps.asked = state.now
-    caps.silent_since = caps.silent_since or state.now
+        caps.renewed_at = state.now
+    caps.requested_at = state.now
+    caps.unanswered_since = caps.unanswered_since or state.now
     demands = _demands(state, names)
     for first in range(0, max(1, len(demands)), ENTRIES):
         # One goes out in any case, for the loan.
@@ -150,20 +150,20 @@
     out: states.Effects,
 ) -> None:
     caps = state.caps
-    keeper = caps.keeper
+    keeper = caps.allocator
     lends = caps.stamp > 0.0 and _may_lend(state)
     if lends:
-        caps.lent_to = keeper
-        caps.lent_until = state.now + cap_keeper.TERM_MS
-    caps.number += 1
-    caps.open[caps.number] = state.now
-    message = messages.CapAsk(
-        number=caps.number,
+        caps.delegated_to = keeper
+        caps.delegated_until = state.now + cap_allocator.TERM_MS
+    caps.request_number += 1
+    caps.pending_requests[caps.request_number] = state.now
+    message = messages.CapRequest(
+        number=caps.request_number,
         stamp=caps.stamp if lends else 0.0,
         demands=demands,
     )
     if keeper == state.node:
-        _take_answer(state, cap_keeper.answer(state, keeper, message))
+        _take_answer(state, cap_allocator.grant(state, keeper, message))
     else:
         _send(state, keeper, message, out)
 
@@ -173,26 +173,26 @@
     less is let pass."""
     caps = state.caps
     passed_over = _passed_over(state)
-    known = caps.keeper
+    known = caps.allocator
     if not known or known in passed_over or not member_order.is_live(state, known):
-        if state.stopping or state.now - state.started < YOUNG_MS:
+        if state.stopping or state.now - state.started_at < YOUNG_MS:
             # The others may have a keeper already, and lead this node to it.
             passed_over |= {state.node}
-        _follow(state, member_order.keeper(state, passed_over=passed_over), out)
-    if caps.keeper == state.node:
+        _follow(state, member_order.cap_allocator(state, passed_over=passed_over), out)
+    if caps.allocator == state.node:
         caps.stamp = state.now
 
 
 def _follow(state: states.State, keeper: ids.NodeId, out: states.Effects) -> None:
     caps = state.caps
-    if keeper == caps.keeper:
+    if keeper == caps.allocator:
         return
-    before = f", no longer {caps.keeper}" if caps.keeper else ""
-    outbox.info(out, "caps", f"{keeper} keeps the caps of workspaces{before}.")
-    caps.keeper = keeper
+    before = f", no longer {caps.allocator}" if caps.allocator else ""
+    operator_log.info(out, "caps", f"{keeper} keeps the caps of workspaces{before}.")
+    caps.allocator = keeper
     caps.stamp = 0.0
-    caps.silent_since = 0.0
-    caps.open.clear()
+    caps.unanswered_since = 0.0
+    caps.pending_requests.clear()
 
 
 def _ask_for_held(state: states.State, out: states.Effects) -> None:
@@ -200,37 +200,43 @@
     caps = state.caps
     if not _knows_members(state):
         return
-    pause = ASK_AGAIN_MS if caps.silent_since else ASK_AT_ONCE_MS
-    if not caps.held or state.now - caps.asked < pause:
+    pause = ASK_AGAIN_MS if caps.unanswered_since else ASK_AT_ONCE_MS
+    if not caps.waiting_calls or state.now - caps.requested_at < pause:
         return
-    waiting = {state.calls[call].workspace for call in caps.held if call in state.calls}
-    ask(state, sorted(waiting), out)
-    place_held(state, out)
+    waiting = {
+        state.calls[call].workspace
+        for call in caps.waiting_calls
+        if call in state.calls
+    }
+    request_leases(state, sorted(waiting), out)
+    admit_waiting(state, out)
 
 
-def on_ask(
+def on_request(
     state: states.State,
     sender: ids.NodeId,
     host: str,
     port: int,
-    message: messages.CapAsk,
+    message: messages.CapRequest,
     out: states.Effects,
 ) -> None:
     """Answer a node that takes this one for the keeper."""
     caps = state.caps
-    silent = caps.silent_since and state.now - caps.silent_since > NEVER_HEARD_MS
-    if silent and caps.keeper != state.node:
+    silent = (
+        caps.unanswered_since and state.now - caps.unanswered_since > NEVER_HEARD_MS
+    )
+    if silent and caps.allocator != state.node:
         # Whoever asks may have found out before that it does not answer.
-        caps.passed_over[caps.keeper] = state.now + PASSED_OVER_MS
+        caps.skipped_nodes[caps.allocator] = state.now + PASSED_OVER_MS
     _choose_keeper(state, out)
-    if caps.keeper == state.node:
-        told = cap_keeper.answer(state, sender, message)
+    if caps.allocator == state.node:
+        told = cap_allocator.grant(state, sender, message)
     else:
         told = messages.CapAnswer(
             number=message.number,
             stamp=0.0,
             leases=(),
-            keeper=caps.keeper,
+            allocator=caps.allocator,
             released=caps.handed_over,
         )
     gossip = messages.Gossip(
@@ -250,17 +256,17 @@
 ) -> None:
     """Take in the keeper's leases; requests that waited for them begin."""
     caps = state.caps
-    if sender != caps.keeper or message.number not in caps.open:
+    if sender != caps.allocator or message.number not in caps.pending_requests:
         return
-    if message.keeper:
+    if message.allocator:
         _on_led_on(state, message, out)
         return
     first = caps.stamp == 0.0
     _take_answer(state, message)
     if first and _may_lend(state):
         # The stamp is known now: without the loan there is nothing to be leased yet.
-        ask(state, list(caps.buckets), out)
-    place_held(state, out)
+        request_leases(state, list(caps.buckets), out)
+    admit_waiting(state, out)
     # Some may have come after the question, and are not refused by its answer.
     _ask_for_held(state, out)
 
@@ -270,9 +276,9 @@
 ) -> None:
     """Ask another node, as the one asked tells that it does not keep the caps."""
     caps = state.caps
-    keeper = ids.NodeId(message.keeper)
-    if message.released and caps.lent_to == caps.keeper:
-        caps.lent_until = 0.0
+    keeper = ids.NodeId(message.allocator)
+    if message.released and caps.delegated_to == caps.allocator:
+        caps.delegated_until = 0.0
     unfit = keeper == state.node and state.stopping
     if (
         unfit
@@ -280,13 +286,13 @@
         or not member_order.is_live(state, keeper)
     ):
         # It is known here for one that does not answer; so is who leads to it.
-        caps.passed_over[caps.keeper] = state.now + LED_ASTRAY_MS
-        caps.keeper = ids.NodeId("")
+        caps.skipped_nodes[caps.allocator] = state.now + LED_ASTRAY_MS
+        caps.allocator = ids.NodeId("")
         return
     _follow(state, keeper, out)
-    if state.now - caps.asked >= ASK_AT_ONCE_MS:
+    if state.now - caps.requested_at >= ASK_AT_ONCE_MS:
         # Two that lead to one another would be asked in turn as fast as they answer.
-        ask(state, list(caps.buckets), out)
+        request_leases(state, list(caps.buckets), out)
 
 
 def on_handover(
@@ -299,36 +305,36 @@
     if state.stopping:
         # The sender could not know. Who comes next can go on as well.
         passed_over = _passed_over(state) | {state.node, sender}
-        successor = member_order.keeper(state, passed_over=passed_over)
+        successor = member_order.cap_allocator(state, passed_over=passed_over)
         if successor != state.node:
             _send(state, successor, message, out)
         return
-    cap_keeper.inherit(state, message)
+    cap_allocator.import_handover(state, message)
     _follow(state, state.node, out)
 
 
 def _hand_over(state: states.State, out: states.Effects) -> None:
     """Leave the caps to the next node, before this one stops."""
     caps = state.caps
-    if caps.handed_over or not state.cap_keeper.loans:
+    if caps.handed_over or not state.cap_allocator.delegations:
         return
     passed_over = _passed_over(state) | {state.node}
-    successor = member_order.keeper(state, passed_over=passed_over)
+    successor = member_order.cap_allocator(state, passed_over=passed_over)
     if successor == state.node:
         return
     caps.handed_over = True
-    whole = cap_keeper.hand_over(state)
+    whole = cap_allocator.export_handover(state)
     for first in range(0, max(1, len(whole.used)), USES):
         page = whole.used[first : first + USES]
-        share, loans = (whole.share, whole.loans) if not first else (0.0, ())
+        share, loans = (whole.share, whole.delegations) if not first else (0.0, ())
         message = messages.CapHandover(share, loans, page)
         _send(state, successor, message, out)
     _follow(state, successor, out)
 
 
-def place_held(state: states.State, out: states.Effects) -> None:
+def admit_waiting(state: states.State, out: states.Effects) -> None:
     """Let requests begin that waited for a token, or refuse them."""
-    held = state.caps.held
+    held = state.caps.waiting_calls
     for call_id, until in list(held.items()):
         call = state.calls.get(call_id)
         cap = None if call is None else _cap_of(state, call)
@@ -344,25 +350,25 @@
 
 def _draw(state: states.State, call: states.Call, cap: routes.Workspace) -> bool:
     """Take a token for a call, if there is one."""
-    if not cap_buckets.take(state, cap):
+    if not cap_buckets.take_token(state, cap):
         return False
-    call.drew = True
-    _use_of(state, cap.name).passed += 1
+    call.took_cap_token = True
+    _use_of(state, cap.name).admitted += 1
     return True
 
 
-def _use_of(state: states.State, workspace: str) -> states.WorkspaceUse:
+def _use_of(state: states.State, workspace: str) -> states.WorkspaceUsage:
     """Return what is counted of a workspace; of those beyond the bound, together."""
-    use = state.caps.use
+    use = state.caps.usage
     if workspace not in use and len(use) >= MAX_COUNTED:
         workspace = OTHERS
-    return use.setdefault(workspace, states.WorkspaceUse())
+    return use.setdefault(workspace, states.WorkspaceUsage())
 
 
 def _take_answer(state: states.State, message: messages.CapAnswer) -> None:
     caps = state.caps
-    asked = caps.open.pop(message.number)
-    caps.silent_since = 0.0
+    asked = caps.pending_requests.pop(message.number)
+    caps.unanswered_since = 0.0
     caps.stamp = message.stamp
     for leased in message.leases:
         cap = None if state.routes is None else state.routes.workspace(leased.workspace)
@@ -370,24 +376,24 @@
             continue
         bucket = cap_buckets.bucket_of(state, cap.name)
         bucket.short = leased.short
-        bucket.told = state.now
-        cap_buckets.lease(
+        bucket.short_reported_at = state.now
+        cap_buckets.apply_lease(
             state,
             bucket,
             cap,
             rate_milli=leased.rate_milli,
             tokens=leased.tokens,
-            until=asked + cap_keeper.TERM_MS,
+            until=asked + cap_allocator.TERM_MS,
         )
 
 
 def _may_lend(state: states.State) -> bool:
     caps = state.caps
-    return caps.lent_to == caps.keeper or caps.lent_until <= state.now
+    return caps.delegated_to == caps.allocator or caps.delegated_until <= state.now
 
 
 def _demands(state: states.State, names: list[str]) -> list[messages.CapDemand]:
-    held = (state.calls.get(call_id) for call_id in state.caps.held)
+    held = (state.calls.get(call_id) for call_id in state.caps.waiting_calls)
     needs = collections.Counter(call.workspace for call in held if call is not None)
     found = []
     for name in names:
@@ -396,14 +402,14 @@
         if cap is None or bucket is None:
             continue
         cap_buckets.refill(state, bucket, cap)
-        rate = cap_buckets.note_demand(state, bucket)
+        rate = cap_buckets.record_demand(state, bucket)
         lease = bucket.rate_milli if bucket.lease_until > state.now else 0
         # Where callers are refused at once none wait, though there may be tokens.
         need = max(
             needs[ids.WorkspaceName(name)], int(bucket.short and bucket.tokens < 1.0)
         )
-        spilled = int(1_000.0 * bucket.spilled)
-        bucket.spilled -= spilled / 1_000.0
+        spilled = int(1_000.0 * bucket.overflowed)
+        bucket.overflowed -= spilled / 1_000.0
         rate_milli = int(1_000.0 * rate)
         demand = messages.CapDemand(name, rate_milli, lease, need, spilled)
         found.append(demand)
@@ -433,16 +439,18 @@
 def _give_up_silent(state: states.State) -> None:
     """Pass a keeper over that does not answer."""
     caps = state.caps
-    for number in [n for n, at in caps.open.items() if state.now - at > OPEN_MS]:
-        del caps.open[number]
+    for number in [
+        n for n, at in caps.pending_requests.items() if state.now - at > OPEN_MS
+    ]:
+        del caps.pending_requests[number]
     patience = SILENT_MS if caps.stamp else NEVER_HEARD_MS
-    silent = caps.silent_since and state.now - caps.silent_since >= patience
-    if silent and caps.keeper != state.node:
-        caps.passed_over[caps.keeper] = state.now + PASSED_OVER_MS
+    silent = caps.unanswered_since and state.now - caps.unanswered_since >= patience
+    if silent and caps.allocator != state.node:
+        caps.skipped_nodes[caps.allocator] = state.now + PASSED_OVER_MS
 
 
 def _passed_over(state: states.State) -> frozenset[ids.NodeId]:
-    known = state.caps.passed_over
+    known = state.caps.skipped_nodes
     for node in [node for node, until in known.items() if until <= state.now]:
         del known[node]
     return frozenset(known)
@@ -452,7 +460,7 @@
     buckets = state.caps.buckets
     index = state.routes
     for name, bucket in list(buckets.items()):
-        idle = state.now - bucket.drawn > cap_buckets.IDLE_MS
+        idle = state.now - bucket.last_request_at > cap_buckets.IDLE_MS
         if idle or index is None or index.workspace(name) is None:
             del buckets[name]
 
@@ -460,13 +468,13 @@
 def _is_short(state: states.State, call: states.Call, cap: routes.Workspace) -> bool:
     """Tell whether an answer since a call came left no hope for a token soon."""
     bucket = cap_buckets.bucket_of(state, cap.name)
-    return bucket.short and bucket.told >= call.arrived
+    return bucket.short and bucket.short_reported_at >= call.arrived_at
 
 
 def _knows_members(state: states.State) -> bool:
     view = state.membership
-    met = view.listed and not view.unmet
-    return met or state.now - state.started > MEET_MS
+    met = view.members_listed and not view.uncontacted
+    return met or state.now - state.started_at > MEET_MS
 
 
 def _has_caps(state: states.State) -> bool:
@@ -489,7 +497,7 @@
 ) -> None:
     _use_of(state, cap.name).refused += 1
     bucket = cap_buckets.bucket_of(state, cap.name)
-    wait = cap_buckets.come_back_after(state, cap)
+    wait = cap_buckets.retry_after_ms(state, cap)
     refusals.refuse(
         state,
         call,
--- a/src/gingerturn/internal/core/claims.py
+++ b/src/gingerturn/internal/core/claims.py
@@ -39,7 +39,7 @@
     )
 
 
-def share_budget(state: states.State) -> None:
+def update_append_interval(state: states.State) -> None:
     """Work out the pause between this node's appends from who may claim at all."""
     services = {
         rule.service for rule in state.configuration.kinds() if not rule.repeatable
@@ -97,7 +97,7 @@
             entry.phase = states.KeyPhase.FOREIGN
 
 
-def check_waits(
+def check_timeouts(
     state: states.State, now: ids.Milliseconds, out: states.Effects
 ) -> None:
     """Give up on claims that the log does not confirm in time."""
@@ -120,7 +120,7 @@
         hosting.withdraw(state, hosted, decisions.Rule.QUEUE_EXPIRED, out)
         return
     keys.mark_running(entry)
-    hosting.hand_over(state, hosted, out)
+    hosting.dispatch(state, hosted, out)
 
 
 def _lost(
--- a/src/gingerturn/internal/core/decisions.py
+++ b/src/gingerturn/internal/core/decisions.py
@@ -75,12 +75,12 @@
     return rule in REFUSALS or status >= 500
 
 
-def words_of(rule: Rule) -> str:
+def description_of(rule: Rule) -> str:
     """Return a rule as a sentence."""
     return _WORDS[rule]
 
 
-def named(rule: Rule, figures: tuple[float, ...]) -> dict[str, float]:
+def named_figures(rule: Rule, figures: tuple[float, ...]) -> dict[str, float]:
     """Return what a rule saw, by name."""
     names = _FIGURES.get(rule, ())
     pairs = zip(names, figures, strict=False)
--- a/src/gingerturn/internal/core/effects.py
+++ b/src/gingerturn/internal/core/effects.py
@@ -18,7 +18,7 @@
     node: ids.NodeId
     host: str
     port: int
-    terms: messages.CallTerms
+    metadata: messages.CallMetadata
 
 
 class CancelAttempt(Effect, frozen=True):
@@ -49,7 +49,7 @@
     decision: str
 
 
-class HandOver(Effect, frozen=True):
+class DispatchCall(Effect, frozen=True, tag="HandOver"):
     """Hand a call to the backend server.
 
     :param span: span id to send on, by which its own calls are recognised.
@@ -88,11 +88,11 @@
     tokens: int
     report: messages.LoadReport
     decision: str
-    keep_as: str = ""
+    store_key: str = ""
     child_failed: bool = False
 
 
-class SendKeptAnswer(Effect, frozen=True):
+class SendStoredAnswer(Effect, frozen=True, tag="SendKeptAnswer"):
     """Send the kept answer of a key to a repeat of the call."""
 
     hosted: ids.HostedId
@@ -102,14 +102,14 @@
     decision: str
 
 
-class KeepAnswer(Effect, frozen=True):
+class StoreAnswer(Effect, frozen=True, tag="KeepAnswer"):
     """Keep the answer of a call whose entry node is gone."""
 
     hosted: ids.HostedId
     key: str
 
 
-class ForgetAnswer(Effect, frozen=True):
+class DeleteStoredAnswer(Effect, frozen=True, tag="ForgetAnswer"):
     """Drop the kept answer of a key."""
 
     key: str
@@ -124,7 +124,7 @@
     report: messages.LoadReport
 
 
-class AskLevel(Effect, frozen=True):
+class RequestLevel(Effect, frozen=True, tag="AskLevel"):
     """Ask an upstream what it sheds at present, for calls of a kind."""
 
     node: ids.NodeId
@@ -133,10 +133,10 @@
     kind: ids.KindName
 
 
-class TellLevel(Effect, frozen=True):
+class ReportLevel(Effect, frozen=True, tag="TellLevel"):
     """Answer such a question."""
 
-    question: int
+    request: int
     report: messages.LoadReport
 
 
@@ -153,7 +153,7 @@
     stream: str
     offset: int
     wait: bool
-    hold_ms: int = 0
+    long_poll_ms: int = 0
     extra: bool = False
     generation: int = 0
 
@@ -274,16 +274,16 @@
     | CancelAttempt
     | RelayAnswer
     | RefuseCall
-    | HandOver
+    | DispatchCall
     | CancelBackend
     | CheckBackend
     | SendAnswer
-    | SendKeptAnswer
-    | KeepAnswer
-    | ForgetAnswer
+    | SendStoredAnswer
+    | StoreAnswer
+    | DeleteStoredAnswer
     | SendRefusal
-    | AskLevel
-    | TellLevel
+    | RequestLevel
+    | ReportLevel
     | ReadLog
     | ReadNewest
     | PutRecord
--- a/src/gingerturn/internal/core/events.py
+++ b/src/gingerturn/internal/core/events.py
@@ -48,7 +48,7 @@
     retry_bound: allowance.Bound | None = None
     lineage: bool = False
     revoke_ms: ids.Milliseconds = 0.0
-    cap_tolerance: tolerance.Tolerance = tolerance.USUAL
+    cap_tolerance: tolerance.Tolerance = tolerance.DEFAULT
 
 
 class Tick(Event, frozen=True):
@@ -134,20 +134,20 @@
 
     hosted: ids.HostedId
     sender: ids.NodeId
-    call: messages.CallTerms
+    metadata: messages.CallMetadata
 
 
-class LevelAsked(Event, frozen=True):
+class LevelRequested(Event, frozen=True, tag="LevelAsked"):
     """A peer asks what this node sheds at present, for calls of a kind.
 
     :param question: number by which the shell pairs the answer with it.
     """
 
-    question: int
+    request: int
     kind: ids.KindName
 
 
-class LevelTold(Event, frozen=True):
+class LevelReported(Event, frozen=True, tag="LevelTold"):
     """A peer's answer to that question."""
 
     node: ids.NodeId
@@ -188,7 +188,7 @@
     """
 
     hosted: ids.HostedId
-    handed: bool
+    dispatched: bool
 
 
 class BackendChecked(Event, frozen=True):
@@ -250,8 +250,8 @@
     records: tuple[bytes, ...]
     oldest: int
     end: int
-    asked: ids.Milliseconds = 0.0
-    held_ms: ids.Milliseconds = 0.0
+    requested_at: ids.Milliseconds = 0.0
+    held_open_ms: ids.Milliseconds = 0.0
     extra: bool = False
     missing: bool = False
     generation: int = 0
@@ -270,7 +270,7 @@
     stream: str
     records: tuple[bytes, ...]
     end: int
-    asked: ids.Milliseconds = 0.0
+    requested_at: ids.Milliseconds = 0.0
     generation: int = 0
     epoch: ids.LogEpoch = ids.LogEpoch(0)
 
@@ -401,8 +401,8 @@
     | AttemptRefused
     | AttemptLost
     | OpenReceived
-    | LevelAsked
-    | LevelTold
+    | LevelRequested
+    | LevelReported
     | CancelReceived
     | BackendAnswered
     | BackendFinished
--- a/src/gingerturn/internal/core/freshness.py
+++ b/src/gingerturn/internal/core/freshness.py
@@ -37,7 +37,7 @@
 
 def age(state: states.State) -> ids.Milliseconds:
     """Return how long ago the table in force was certainly the newest."""
-    return state.now - state.freshness.proven
+    return state.now - state.freshness.verified_at
 
 
 def is_stale(state: states.State) -> bool:
@@ -45,7 +45,7 @@
     return is_bounded(state) and age(state) > allowed_ms(state)
 
 
-def note_read(
+def on_read(
     state: states.State, asked: ids.Milliseconds, *, held_ms: ids.Milliseconds = 0.0
 ) -> None:
     """Take in that a read of the log reached its end; it proves nothing while the log
@@ -55,36 +55,38 @@
     :param held_ms: for how long the log surely held it open, without news.
     """
     present = 0 if state.routes is None else state.routes.version
-    if state.freshness.shown >= max(present, state.routes_heard):
+    if state.freshness.highest_log_version >= max(
+        present, state.highest_routes_version
+    ):
         _prove(state, asked + held_ms)
 
 
-def note_table(state: states.State, version: int) -> None:
+def on_table(state: states.State, version: int) -> None:
     """Take in that the log holds a table."""
     known = state.freshness
-    known.shown = max(known.shown, version)
+    known.highest_log_version = max(known.highest_log_version, version)
 
 
 def on_log_restored(state: states.State) -> None:
     """Take in that the log may have lost tables that it held."""
-    state.freshness.shown = 0
+    state.freshness.highest_log_version = 0
 
 
-def note_word(
+def on_peer_age(
     state: states.State, asked: ids.Milliseconds, message: messages.Gossip
 ) -> None:
     """Take in a member's answer: the version that was the newest, and its age."""
     present = 0 if state.routes is None else state.routes.version
-    if message.proven_age_ms >= 0 and message.route_version <= present:
-        _prove(state, asked - message.proven_age_ms)
+    if message.verified_age_ms >= 0 and message.route_version <= present:
+        _prove(state, asked - message.verified_age_ms)
 
 
-def word(state: states.State) -> ids.Milliseconds:
+def advertised_age_ms(state: states.State) -> ids.Milliseconds:
     """Return the age that this node tells others, -1 where it has no evidence."""
-    if state.routes is None or not state.freshness.proven:
+    if state.routes is None or not state.freshness.verified_at:
         return -1.0
     return max(0.0, age(state))
 
 
 def _prove(state: states.State, at: ids.Milliseconds) -> None:
-    state.freshness.proven = max(state.freshness.proven, min(at, state.now))
+    state.freshness.verified_at = max(state.freshness.verified_at, min(at, state.now))
--- a/src/gingerturn/internal/core/freshness_renewal.py
+++ b/src/gingerturn/internal/core/freshness_renewal.py
@@ -14,7 +14,7 @@
     member_order,
     member_table,
     membership,
-    outbox,
+    operator_log,
     state as states,
     streams,
 )
@@ -53,9 +53,9 @@
     _tell(state, old, out)
     if old < ASK_FROM_MS:
         return
-    if now - known.asked >= ASK_EVERY_MS:
+    if now - known.queried_at >= ASK_EVERY_MS:
         _ask(state, out)
-    head = member_order.above(state) is None or member_order.is_head(state)
+    head = member_order.parent(state) is None or member_order.is_zone_first(state)
     if old >= (READ_FROM_MS if head else LAST_READ_FROM_MS):
         _read(state, out)
 
@@ -64,32 +64,32 @@
     """Write when keys cease to be let in, and when they are again."""
     known = state.freshness
     stale = freshness.is_stale(state)
-    if stale == known.closed:
+    if stale == known.closed_logged:
         return
-    known.closed = stale
+    known.closed_logged = stale
     if stale:
         text = f"Nothing tells for {old:.0f} ms that keys still hold; none is let in."
-        outbox.warn(out, "keys", text)
+        operator_log.warn(out, "keys", text)
     else:
-        outbox.info(out, "keys", "Keys are let in again.")
+        operator_log.info(out, "keys", "Keys are let in again.")
 
 
 def on_read_ended(state: states.State) -> None:
     """Take in that an extra read was answered, or failed."""
     known = state.freshness
-    known.reading = False
+    known.extra_read_pending = False
     pause = READ_EVERY_MS * (1.0 + state.random.random())
-    known.read_again = state.now + pause
+    known.next_read_at = state.now + pause
 
 
 def _ask(state: states.State, out: states.Effects) -> None:
     """Ask the node above, and by turns any other, as the one above may be cut off."""
     known = state.freshness
-    known.asked = state.now
-    known.questions += 1
-    node = member_order.above(state)
-    if node is None or (freshness.age(state) > READ_FROM_MS and known.questions % 2):
-        others = member_table.some(state, 1)
+    known.queried_at = state.now
+    known.query_count += 1
+    node = member_order.parent(state)
+    if node is None or (freshness.age(state) > READ_FROM_MS and known.query_count % 2):
+        others = member_table.random_members(state, 1)
         node = others[0] if others else None
     if node is not None:
         membership.ping(state, node, out, track=True)
@@ -98,13 +98,13 @@
 def _read(state: states.State, out: states.Effects) -> None:
     stream = state.streams.get(streams.ROUTES)
     known = state.freshness
-    if stream is None or known.reading or state.now < known.read_again:
+    if stream is None or known.extra_read_pending or state.now < known.next_read_at:
         return
     if not stream.caught_up:
         # Nothing was read since the log was restored from a backup, or since the start.
         streams.reread(state, streams.ROUTES)
         return
-    known.reading = True
+    known.extra_read_pending = True
     out.append(
         effects.ReadLog(
             stream=streams.ROUTES,
--- a/src/gingerturn/internal/core/rumour_queue.py
+++ b/src/gingerturn/internal/core/gossip_queue.py
@@ -9,7 +9,7 @@
 import typing
 
 
-class Rumours:
+class GossipQueue:
     """Updates that wait to be passed on.
 
     Invariant: ``_left`` names the bucket in which each node stands.
@@ -61,4 +61,4 @@
 
 def encoded(value: object) -> typing.Any:
     """Return rumours as plain data for a dump of the state."""
-    return value.dump() if isinstance(value, Rumours) else repr(value)
+    return value.dump() if isinstance(value, GossipQueue) else repr(value)
--- a/src/gingerturn/internal/core/hosting.py
+++ b/src/gingerturn/internal/core/hosting.py
@@ -5,19 +5,19 @@
 from gingerturn.internal import ids
 from gingerturn.internal.core import (
     admission,
-    backend_ends,
+    backend_crashes,
     calls,
     decisions,
     effects,
     events,
     instances,
     keys,
-    knee,
     messages,
-    outbox,
+    operator_log,
     quarantine,
     ranks,
     replies,
+    saturation,
     slot_costs,
     state as states,
 )
@@ -46,15 +46,15 @@
     state: states.State, event: events.OpenReceived, out: states.Effects
 ) -> None:
     """Admit, queue or refuse a call."""
-    terms = event.call
+    terms = event.metadata
     hosted = states.Hosted(
         id=event.hosted,
         sender=event.sender,
-        terms=terms,
+        metadata=terms,
         rank=_rank(state, terms),
         deadline=event.now + terms.deadline_ms,
         tokens=terms.tokens,
-        arrived=event.now,
+        arrived_at=event.now,
         children={},
     )
     state.hosted[hosted.id] = hosted
@@ -66,13 +66,13 @@
         return
     rule = _unfit(state, hosted)
     # Mostly nothing is kept out, and then no call pays for the question.
-    kept_out = state.quarantine.kept_out
+    kept_out = state.quarantine.quarantined
     if rule is None and kept_out and not quarantine.admits(state, hosted):
         rule = decisions.Rule.QUARANTINED
     if rule is not None:
         replies.refuse(state, hosted, rule, out)
         return
-    admission.note_arrival(state, hosted.rank)
+    admission.record_arrival(state, hosted.rank)
     if not _worth_starting(state, hosted, out):
         return
     heapq.heappush(state.deadlines, (hosted.deadline, calls.HOSTED_DEADLINE, hosted.id))
@@ -82,7 +82,7 @@
     _enqueue(state, hosted, out)
 
 
-def _rank(state: states.State, terms: messages.CallTerms) -> ids.Rank:
+def _rank(state: states.State, terms: messages.CallMetadata) -> ids.Rank:
     """Return the rank of a call in the queue here.
 
     On routes a root that calls nobody ranks with the deeper calls of its class: its
@@ -92,19 +92,19 @@
     rank = ranks.rank_of(
         importance=terms.importance, depth=terms.depth, root=terms.root
     )
-    if state.routed and not state.children_of.get(terms.kind):
+    if state.routed and not state.child_kinds.get(terms.kind):
         return ranks.deep_rank(rank)
     return rank
 
 
-def on_level_asked(
-    state: states.State, event: events.LevelAsked, out: states.Effects
+def on_level_requested(
+    state: states.State, event: events.LevelRequested, out: states.Effects
 ) -> None:
     """Tell a peer what is shed at present; what is known only from long ago is
     asked for in turn, for the next question."""
-    admission.ask_below(state, event.kind, out)
-    report = admission.report(state, event.kind)
-    out.append(effects.TellLevel(question=event.question, report=report))
+    admission.request_child_levels(state, event.kind, out)
+    report = admission.load_report(state, event.kind)
+    out.append(effects.ReportLevel(request=event.request, report=report))
 
 
 def on_cancel(
@@ -120,7 +120,7 @@
         replies.forget(state, hosted)
         return
     running = states.HostedState.RUNNING
-    if hosted.state is running and not hosted.terms.repeatable:
+    if hosted.state is running and not hosted.metadata.repeatable:
         return
     out.append(effects.CancelBackend(hosted=hosted.id))
     if hosted.state is states.HostedState.QUEUED:
@@ -144,26 +144,26 @@
     if not event.executed:
         _on_turned_away(state, hosted, event.status, out)
         return
-    state.backend.answered = event.now
+    state.backend.answered_at = event.now
     if event.status in calls.OVERLOAD_STATUSES:
         # A backend server passes on that a service below it shed. Taken for its
         # own shedding, that cut the limits of every service above the full one.
         if not hosted.child_failed:
-            admission.note_backend_refusal(state)
+            admission.record_backend_refusal(state)
     else:
-        _note_times(state, hosted, event.now - hosted.started)
-        admission.note_backend_success(state)
+        _note_times(state, hosted, event.now - hosted.started_at)
+        admission.record_backend_success(state)
     if event.whole and event.status < calls.FIRST_FAILURE_STATUS:
-        quarantine.note_run(state, hosted.terms.fingerprint, out)
+        quarantine.record_run(state, hosted.metadata.fingerprint, out)
     if event.whole:
         _end_slot(state, hosted, out, pump=False)
     else:
         hosted.state = states.HostedState.STREAMING
     replies.send_answer(state, hosted, out, whole=event.whole)
-    if hosted.terms.key:
-        replies.end_key(state, hosted, out, kept=event.whole, certain=True)
+    if hosted.metadata.key:
+        replies.finish_key(state, hosted, out, kept=event.whole, certain=True)
     if event.whole:
-        fill(state, out)
+        start_queued(state, out)
 
 
 def on_backend_finished(
@@ -173,7 +173,7 @@
     hosted = state.hosted.get(event.hosted)
     if hosted is None or hosted.state is not states.HostedState.STREAMING:
         return
-    quarantine.note_run(state, hosted.terms.fingerprint, out)
+    quarantine.record_run(state, hosted.metadata.fingerprint, out)
     _end_slot(state, hosted, out)
 
 
@@ -185,21 +185,21 @@
     if hosted is None:
         return
     if hosted.state is states.HostedState.STREAMING:
-        backend_ends.note_broken(state, hosted, out)
+        backend_crashes.record_broken_call(state, hosted, out)
         _end_slot(state, hosted, out)
         return
     if hosted.state is not states.HostedState.RUNNING:
         return
-    if event.handed:
+    if event.dispatched:
         _on_broken(state, hosted, out)
         return
     state.backend.unreachable_until = event.now + UNREACHABLE_MS
     _end_slot(state, hosted, out, pump=False)
-    if hosted.terms.key:
+    if hosted.metadata.key:
         replies.fail_key(state, hosted, out, handed=False)
     if not hosted.orphaned:
         replies.refuse(state, hosted, decisions.Rule.BACKEND_UNREACHABLE, out)
-    fill(state, out)
+    start_queued(state, out)
 
 
 def _on_broken(state: states.State, hosted: states.Hosted, out: states.Effects) -> None:
@@ -208,14 +208,14 @@
     What its entry node is told waits for the answer to whether the backend server
     ended: a call that ended it should not be sent to the next one as any other is.
     """
-    backend_ends.note_broken(state, hosted, out)
-    if hosted.terms.key:
+    backend_crashes.record_broken_call(state, hosted, out)
+    if hosted.metadata.key:
         replies.fail_key(state, hosted, out, handed=True)
     _end_slot(state, hosted, out, pump=False)
     if not hosted.orphaned:
         hosted.state = states.HostedState.CHECKING
         state.hosted[hosted.id] = hosted
-    fill(state, out)
+    start_queued(state, out)
 
 
 def on_backend_checked(
@@ -225,12 +225,12 @@
 
     :return: whether it ended by itself.
     """
-    ended = backend_ends.on_checked(state, refused=event.refused, out=out)
+    ended = backend_crashes.on_checked(state, refused=event.refused, out=out)
     for hosted in list(state.hosted.values()):
         if hosted.state is not states.HostedState.CHECKING:
             continue
         rule = decisions.Rule.OUTCOME_UNKNOWN
-        if quarantine.word_on(state, hosted.terms.fingerprint):
+        if quarantine.entry_of(state, hosted.metadata.fingerprint):
             rule = decisions.Rule.QUARANTINED
         elif ended:
             rule = decisions.Rule.BACKEND_ENDED
@@ -241,8 +241,8 @@
 def _note_times(
     state: states.State, hosted: states.Hosted, elapsed: ids.Milliseconds
 ) -> None:
-    knee.note(state, hosted, elapsed)
-    admission.note_time(state, hosted.terms.kind, elapsed)
+    saturation.record_time(state, hosted, elapsed)
+    admission.record_service_time(state, hosted.metadata.kind, elapsed)
 
 
 def _on_turned_away(
@@ -251,31 +251,31 @@
     """Take in that the backend server said that it did not run a call."""
     room = admission.has_room(state)
     _end_slot(state, hosted, out, pump=False)
-    if hosted.terms.key:
+    if hosted.metadata.key:
         replies.fail_key(state, hosted, out, handed=False)
     if status == messages.MISDIRECTED:
         # Another instance has the address now; the announced one is gone.
         _lose_backend(state, out)
         replies.refuse(state, hosted, decisions.Rule.NO_BACKEND, out)
         return
-    admission.note_backend_refusal(state)
+    admission.record_backend_refusal(state)
     if not hosted.orphaned:
         rule = decisions.Rule.BACKEND_REFUSED
         replies.refuse(state, hosted, rule, out, arrived=True, room=room)
-    fill(state, out)
+    start_queued(state, out)
 
 
 def _lose_backend(state: states.State, out: states.Effects) -> None:
     backend = state.backend
     if backend.present:
         text = f"{backend.service} {backend.instance} no longer has its address."
-        outbox.warn(out, "backend", text)
+        operator_log.warn(out, "backend", text)
     backend.present = False
-    instances.note_left(state, backend.instance)
+    instances.record_departure(state, backend.instance)
     replies.refuse_queue(state, decisions.Rule.NO_BACKEND, out)
 
 
-def end_running(state: states.State, out: states.Effects) -> None:
+def fail_running(state: states.State, out: states.Effects) -> None:
     """End the calls that the backend server had when it started anew.
 
     It knows nothing of them. They may have run, so that none is said not to have, and
@@ -287,7 +287,7 @@
             out.append(effects.CancelBackend(hosted=hosted.id))
             _end_slot(state, hosted, out, pump=False)
         elif hosted.state is states.HostedState.RUNNING:
-            if hosted.terms.key:
+            if hosted.metadata.key:
                 replies.fail_key(state, hosted, out, handed=True)
             if not hosted.orphaned:
                 replies.refuse(state, hosted, rule, out, handed=True, ended=False)
@@ -295,7 +295,7 @@
             _end_slot(state, hosted, out, pump=False)
 
 
-def shed_overdue(state: states.State, out: states.Effects) -> None:
+def drop_overdue(state: states.State, out: states.Effects) -> None:
     """Refuse queued calls that waited for too long."""
     for hosted_id in admission.overdue(state):
         replies.refuse(
@@ -317,7 +317,7 @@
         keys.detach(state, hosted)
         _end_slot(state, hosted, out, pump=False)
         replies.refuse(state, hosted, decisions.Rule.LOG_UNAVAILABLE, out)
-        fill(state, out)
+        start_queued(state, out)
     elif hosted.state in _SLOTLESS_STATES:
         replies.refuse(state, hosted, decisions.Rule.DEADLINE_PASSED, out, handed=True)
     elif hosted.state is states.HostedState.RUNNING:
@@ -330,14 +330,14 @@
     if not hosted.orphaned:
         rule = decisions.Rule.DEADLINE_PASSED
         replies.refuse(state, hosted, rule, out, handed=True, ended=False)
-    if hosted.terms.repeatable:
+    if hosted.metadata.repeatable:
         out.append(effects.CancelBackend(hosted=hosted.id))
         _end_slot(state, hosted, out)
         return
-    keep_ms = ORPHAN_MS if hosted.terms.key else UNKEYED_ORPHAN_MS
+    keep_ms = ORPHAN_MS if hosted.metadata.key else UNKEYED_ORPHAN_MS
     if hosted.orphaned and state.now >= hosted.deadline + keep_ms:
         out.append(effects.CancelBackend(hosted=hosted.id))
-        if hosted.terms.key:
+        if hosted.metadata.key:
             replies.fail_key(state, hosted, out, handed=True)
         _end_slot(state, hosted, out)
         return
@@ -351,12 +351,12 @@
 def start(state: states.State, hosted: states.Hosted, out: states.Effects) -> None:
     """Occupy a slot; claim the key first where there is one."""
     admission.take_slot(state)
-    if not hosted.terms.key:
-        hand_over(state, hosted, out)
+    if not hosted.metadata.key:
+        dispatch(state, hosted, out)
         return
-    entry = state.keys.get(hosted.terms.key)
-    if entry is None and hosted.terms.ticket:
-        entry = keys.own(state, hosted.terms.key)
+    entry = state.keys.get(hosted.metadata.key)
+    if entry is None and hosted.metadata.ticket:
+        entry = keys.own(state, hosted.metadata.key)
     if entry is not None and _settled(state, hosted, entry, out):
         return
     if not keys.claims_usable(state) or not keys.covered(state, hosted):
@@ -379,34 +379,36 @@
     if entry.phase is states.KeyPhase.OURS_IDLE:
         entry.hosted = hosted.id
         keys.mark_running(entry)
-        hand_over(state, hosted, out)
+        dispatch(state, hosted, out)
         return True
     if entry.phase is states.KeyPhase.CLAIMING and entry.hosted is None:
         return False
     admission.free_slot(state)
     replies.is_repeat(state, hosted, out)
-    fill(state, out)
+    start_queued(state, out)
     return True
 
 
-def hand_over(state: states.State, hosted: states.Hosted, out: states.Effects) -> None:
+def dispatch(state: states.State, hosted: states.Hosted, out: states.Effects) -> None:
     """Hand a call that occupies a slot to the backend server."""
     backend = state.backend
     hosted.state = states.HostedState.RUNNING
-    hosted.started = state.now
-    slot_costs.note_run(state.costs, hosted.terms.kind)
+    hosted.started_at = state.now
+    slot_costs.record_run(state.costs, hosted.metadata.kind)
     hosted.occupancy = backend.running / max(1, backend.slots)
-    hosted.span = ids.SpanId(hosted.terms.trace) if state.lineage else state.next_span()
-    state.spans[hosted.span] = hosted.id
+    hosted.span = (
+        ids.SpanId(hosted.metadata.trace) if state.lineage else state.next_span()
+    )
+    state.hosted_by_span[hosted.span] = hosted.id
     figures = (
         float(backend.running),
         backend.limit,
         float(len(backend.queue)),
-        state.now - hosted.arrived,
+        state.now - hosted.arrived_at,
     )
     hosted.decision = replies.decide(state, hosted, decisions.Rule.RUN, out, figures)
     out.append(
-        effects.HandOver(
+        effects.DispatchCall(
             hosted=hosted.id,
             host=backend.host,
             port=backend.port,
@@ -417,7 +419,7 @@
     )
 
 
-def fill(state: states.State, out: states.Effects) -> None:
+def start_queued(state: states.State, out: states.Effects) -> None:
     """Start queued calls while there are slots."""
     while admission.has_slot(state):
         hosted_id = admission.dequeue(state)
@@ -427,7 +429,7 @@
         if not quarantine.admits(state, hosted):
             replies.refuse(state, hosted, decisions.Rule.QUARANTINED, out)
             continue
-        needed = admission.service_time(state, hosted.terms.kind)
+        needed = admission.service_time(state, hosted.metadata.kind)
         if state.now + needed > hosted.deadline:
             replies.refuse(state, hosted, decisions.Rule.QUEUE_EXPIRED, out)
             continue
@@ -448,14 +450,14 @@
         replies.forget(state, hosted)
     else:
         replies.refuse(state, hosted, rule, out, holder=holder)
-    fill(state, out)
+    start_queued(state, out)
 
 
 def _unfit(state: states.State, hosted: states.Hosted) -> decisions.Rule | None:
     backend = state.backend
     if backend.leaving or state.departed:
         return decisions.Rule.LEAVING
-    if not backend.present or backend.service != hosted.terms.service:
+    if not backend.present or backend.service != hosted.metadata.service:
         return decisions.Rule.NO_BACKEND
     if state.now < backend.unreachable_until:
         return decisions.Rule.BACKEND_UNREACHABLE
@@ -466,11 +468,11 @@
     state: states.State, hosted: states.Hosted, out: states.Effects
 ) -> bool:
     """Refuse what could not finish in time, or whose children would be shed."""
-    kind = hosted.terms.kind
+    kind = hosted.metadata.kind
     needed = admission.service_time(state, kind)
     wait = admission.expected_wait(state, kind, hosted.rank)
     left = hosted.deadline - state.now
-    if hosted.terms.depth > 0 and not wait:
+    if hosted.metadata.depth > 0 and not wait:
         needed *= SUNK_SHARE
     if left <= 0 or needed + wait > left:
         rule = decisions.Rule.NOT_IN_TIME
@@ -478,8 +480,8 @@
         return False
     below = admission.tree_level(state, kind)
     if below > ranks.LOWEST:
-        admission.ask_below(state, kind, out)
-    spared = state.routed and hosted.terms.depth > 0
+        admission.request_child_levels(state, kind, out)
+    spared = state.routed and hosted.metadata.depth > 0
     if not spared and ranks.deep_rank(hosted.rank) < below:
         figures = (float(below), float(ranks.deep_rank(hosted.rank)))
         replies.refuse(state, hosted, decisions.Rule.TREE_LEVEL, out, figures=figures)
@@ -503,4 +505,4 @@
     admission.free_slot(state)
     replies.forget(state, hosted)
     if pump:
-        fill(state, out)
+        start_queued(state, out)
--- a/src/gingerturn/internal/core/instances.py
+++ b/src/gingerturn/internal/core/instances.py
@@ -19,7 +19,7 @@
 another on an instance within any delay."""
 
 
-def is_late(
+def is_outdated(
     state: states.State, instance: str, sequence: int, started_ms: int = 0
 ) -> bool:
     """Tell whether an announcement was overtaken by a later one, by the instance's
@@ -30,15 +30,15 @@
     backend = state.backend
     if not instance:
         return False
-    if instance in backend.left:
-        return not started_ms or started_ms <= backend.left[instance]
+    if instance in backend.departed_instances:
+        return not started_ms or started_ms <= backend.departed_instances[instance]
     if instance == backend.instance:
         if _tells_apart(started_ms, backend.started_ms):
             return started_ms < backend.started_ms
         return 0 < sequence <= backend.sequence
-    if instance not in backend.replaced:
+    if instance not in backend.replaced_instances:
         return False
-    before = backend.replaced[instance]
+    before = backend.replaced_instances[instance]
     if _tells_apart(started_ms, before.started_ms):
         return started_ms < before.started_ms
     # Which of two is alive no announcement tells for certain: after a restart of this
@@ -56,7 +56,7 @@
     present one."""
     if not instance:
         return False
-    if instance != backend.instance or instance in backend.left:
+    if instance != backend.instance or instance in backend.departed_instances:
         return True
     return _tells_apart(started_ms, backend.started_ms)
 
@@ -68,7 +68,7 @@
     return instance == backend.instance and 0 < started_ms < backend.started_ms
 
 
-def note_left(state: states.State, instance: str, started_ms: int = 0) -> None:
+def record_departure(state: states.State, instance: str, started_ms: int = 0) -> None:
     """Take in that an instance takes no more work; that start is never heard again.
 
     :param started_ms: when it had started; 0 where it tells none.
@@ -79,7 +79,7 @@
     if not started_ms and instance == backend.instance:
         started_ms = backend.started_ms
     # Of an instance that told no start only what starts from now on is another.
-    _remember(backend.left, instance, started_ms or int(state.now))
+    _remember(backend.departed_instances, instance, started_ms or int(state.now))
 
 
 def _remember(table: dict[str, _T], instance: str, what: _T) -> None:
@@ -88,19 +88,19 @@
         del table[next(iter(table))]
 
 
-def begin(state: states.State, instance: str) -> None:
+def begin_instance(state: states.State, instance: str) -> None:
     """Start afresh for a new start of the backend server: nothing measured of the
     one before holds for it."""
     backend = state.backend
     if backend.instance and backend.instance != instance:
-        heard = states.Heard(backend.started_ms, backend.sequence)
-        _remember(backend.replaced, backend.instance, heard)
-    backend.left.pop(instance, None)
+        heard = states.InstanceAnnouncement(backend.started_ms, backend.sequence)
+        _remember(backend.replaced_instances, backend.instance, heard)
+    backend.departed_instances.pop(instance, None)
     backend.instance = instance
     backend.sequence = 0
     backend.started_ms = 0
     backend.present = False
     backend.times.clear()
-    backend.knee = states.Knee()
+    backend.saturation = states.Saturation()
     backend.unreachable_until = 0.0
-    admission.forget(state)
+    admission.reset_measurements(state)
--- a/src/gingerturn/internal/core/joining.py
+++ b/src/gingerturn/internal/core/joining.py
@@ -38,8 +38,8 @@
 
 def start(state: states.State, me: messages.Member, out: states.Effects) -> None:
     """Enter the membership as its only member and tell the log."""
-    state.membership.me = me
-    member_table.put(state, me, out)
+    state.membership.self_member = me
+    member_table.update(state, me, out)
     put_join_record(state, out)
     if not state.keyed_log:
         contact_seeds(state, state.now, out)
@@ -49,16 +49,16 @@
     """Put this node's place on the log, under its key if the log has keys; others read
     it when they start."""
     view = state.membership
-    if view.me is None:
+    if view.self_member is None:
         return
     number = state.next_number()
-    record = messages.encode_record(_join_record(state, view.me))
+    record = messages.encode_record(_join_record(state, view.self_member))
     view.join_retry_at = math.inf
     if not state.keyed_log:
-        view.join_put = 0
+        view.join_put_number = 0
         out.append(effects.Append(append=number, stream=streams.MEMBERS, record=record))
         return
-    view.join_put = number
+    view.join_put_number = number
     out.append(
         effects.PutRecord(
             put=number, stream=streams.MEMBERS, key=state.node, record=record
@@ -66,13 +66,13 @@
     )
 
 
-def write_again(state: states.State) -> None:
+def rewrite_join_record(state: states.State) -> None:
     """Put the join record again, as the log may have lost it; not all nodes at once."""
     view = state.membership
     if state.departed:
         return
     spread = 1_000.0 * max(1.0, len(view.members) / WRITES_PER_SECOND)
-    view.join_put = state.next_number()
+    view.join_put_number = state.next_number()
     view.join_retry_at = state.now + spread * state.random.random()
 
 
@@ -85,14 +85,14 @@
     the same time the later one finds the earlier.
     """
     view = state.membership
-    if put != view.join_put:
+    if put != view.join_put_number:
         return
     if done:
-        view.join_put = 0
+        view.join_put_number = 0
     else:
         pause = PUT_RETRY_MS * (1.0 + state.random.random())
         view.join_retry_at = state.now + pause
-    is_known = view.listed and state.now - state.started > RECENT_START_MS
+    is_known = view.members_listed and state.now - state.started_at > RECENT_START_MS
     if done and not is_known:
         # A read that is under way began before the record was there.
         streams.reread(state, streams.MEMBERS, anew=True)
@@ -117,7 +117,7 @@
 ) -> None:
     """Take in who joined by a keyed log: contact those not known yet."""
     view = state.membership
-    view.listed = True
+    view.members_listed = True
     members = view.members
     latest = sorted(records, key=lambda record: -record.at)
     for record in latest:
@@ -126,39 +126,41 @@
             known is not None and known.incarnation >= record.incarnation
         ):
             continue
-        view.unmet[record.node] = (record, 0)
-    contact_unmet(state, state.now, out)
+        view.uncontacted[record.node] = (record, 0)
+    contact_unknown(state, state.now, out)
 
 
-def contact_unmet(
+def contact_unknown(
     state: states.State, now: ids.Milliseconds, out: states.Effects
 ) -> None:
     """Contact nodes that joined by the log and were not heard of yet; datagrams may
     be lost, so each is tried a few times."""
     view = state.membership
     contacted = 0
-    for node, (record, tries) in list(view.unmet.items()):
+    for node, (record, tries) in list(view.uncontacted.items()):
         known = view.members.get(node)
         met = known is not None and known.incarnation >= record.incarnation
         if met or tries >= CONTACT_TRIES:
-            del view.unmet[node]
+            del view.uncontacted[node]
             continue
         if contacted < KEYED_CONTACTS:
-            view.unmet[node] = (record, tries + 1)
+            view.uncontacted[node] = (record, tries + 1)
             membership.sync(state, record.host, record.gossip_port, "", out)
             contacted += 1
 
 
-def revive(state: states.State, now: ids.Milliseconds, out: states.Effects) -> None:
+def probe_gone_member(
+    state: states.State, now: ids.Milliseconds, out: states.Effects
+) -> None:
     """Ping a member that is held for gone, and renew what the log must hold."""
     view = state.membership
     gone = [node for node in view.gone if node in view.members]
     if gone and not state.stopping:
         membership.ping(state, ids.NodeId(state.random.choice(gone)), out)
-    if view.join_put and now >= view.join_retry_at:
+    if view.join_put_number and now >= view.join_retry_at:
         put_join_record(state, out)
-    contact_unmet(state, now, out)
-    if state.keyed_log and not member_table.reachable(state) and view.listed:
+    contact_unknown(state, now, out)
+    if state.keyed_log and not member_table.reachable(state) and view.members_listed:
         # Alone: the others may have been replaced while this node was cut off.
         streams.reread(state, streams.MEMBERS)
 
--- a/src/gingerturn/internal/core/keys.py
+++ b/src/gingerturn/internal/core/keys.py
@@ -35,13 +35,13 @@
 
 def key_in_window(key: str, now: ids.Milliseconds) -> bool:
     """Tell whether a caller's key is a UUIDv7 whose time the log still covers."""
-    minted = minted_at(key)
+    minted = issued_at(key)
     if minted is None:
         return False
     return now - KEY_WINDOW_MS <= minted <= now + CLOCK_SKEW_MS
 
 
-def minted_at(key: str) -> ids.Milliseconds | None:
+def issued_at(key: str) -> ids.Milliseconds | None:
     """Return the time in a UUIDv7 (RFC 9562), or ``None`` for other text."""
     try:
         parsed = uuid.UUID(key)
@@ -52,7 +52,7 @@
     return float(parsed.int >> 80)
 
 
-def preferred(key: str, nodes: list[ids.NodeId]) -> ids.NodeId:
+def preferred_node(key: str, nodes: list[ids.NodeId]) -> ids.NodeId:
     """Return the node at which sendings of a key meet (rendezvous hashing)."""
 
     def weight(node: ids.NodeId) -> bytes:
@@ -71,17 +71,17 @@
     stream = state.streams.get(stream_name(state.backend.service))
     if stream is None or not stream.caught_up:
         return False
-    return state.now - stream.fresh <= STALE_STREAM_MS
+    return state.now - stream.current_as_of <= STALE_STREAM_MS
 
 
 def covered(state: states.State, hosted: states.Hosted) -> bool:
     """Tell whether this node has read every claim that could be of this key."""
     stream = state.streams.get(stream_name(state.backend.service))
-    if hosted.terms.key_derived:
+    if hosted.metadata.key_derived:
         # It tells no time, but is not used for longer than its whole request lasts.
         since = 0.0 if stream is None else stream.covered_from
         return not since or state.now - _longest_request_ms(state) >= since
-    minted = minted_at(hosted.terms.key)
+    minted = issued_at(hosted.metadata.key)
     if stream is None or minted is None:
         return False
     return minted >= stream.covered_from
@@ -98,7 +98,7 @@
     An entry that an earlier call left behind keeps its claim's id, so that its
     record may stand on the log twice without harm.
     """
-    key = hosted.terms.key
+    key = hosted.metadata.key
     entry = state.keys.get(key)
     if entry is None:
         claim = f"{state.random.getrandbits(96):024x}"
@@ -129,7 +129,7 @@
 
 def detach(state: states.State, hosted: states.Hosted) -> None:
     """Part a call from its key before it ran; the claim may still be won."""
-    entry = state.keys.get(hosted.terms.key)
+    entry = state.keys.get(hosted.metadata.key)
     if entry is not None and entry.hosted == hosted.id:
         entry.hosted = None
 
@@ -141,7 +141,7 @@
     entry.phase = states.KeyPhase.OURS_RUNNING
 
 
-def mark_not_handed(entry: states.KeyEntry) -> None:
+def mark_not_dispatched(entry: states.KeyEntry) -> None:
     """Go back to a won claim: not one byte reached the backend server."""
     entry.phase = states.KeyPhase.OURS_IDLE
     entry.hosted = None
@@ -151,8 +151,8 @@
     """Enter the last phase."""
     entry.phase = states.KeyPhase.OURS_DONE
     entry.hosted = None
-    entry.kept = kept
-    entry.certain = certain
+    entry.answer_stored = kept
+    entry.outcome_known = certain
 
 
 def prune(state: states.State, now: ids.Milliseconds) -> list[str]:
@@ -166,11 +166,11 @@
         for entry in state.keys.values()
         if entry.since < horizon and entry.hosted is None
     ]
-    dropped = [key for key in old if state.keys[key].kept]
+    dropped = [key for key in old if state.keys[key].answer_stored]
     for key in old:
         del state.keys[key]
-    kept = [entry for entry in state.keys.values() if entry.kept]
+    kept = [entry for entry in state.keys.values() if entry.answer_stored]
     for entry in kept[: max(0, len(kept) - MAX_KEPT)]:
-        entry.kept = False
+        entry.answer_stored = False
         dropped.append(entry.key)
     return dropped
--- a/src/gingerturn/internal/core/level_control.py
+++ b/src/gingerturn/internal/core/level_control.py
@@ -48,7 +48,7 @@
     if not backend.present:
         backend.level = ranks.LOWEST
         return
-    admission.account(state)
+    admission.accumulate_busy_time(state)
     closed = backend.windows[-1]
     if closed.shed or closed.least_queue >= closed.target_queue:
         overage = ROUTED_OVERAGE if state.routed else OVERAGE
@@ -70,7 +70,7 @@
     handed = 0
     count = 0
     for window in reversed(backend.windows):
-        handed += window.handed
+        handed += window.dispatched
         count += 1
         if count >= MIN_WINDOWS and handed >= ENOUGH_HANDED:
             break
@@ -89,12 +89,12 @@
     recent = _recent(backend)
     for window in recent:
         above.extend(rank for rank in window.ranks if rank >= backend.level)
-        handed += window.handed
+        handed += window.dispatched
     excess = len(above) - int(handed * overage) - 1
     if excess <= 0:
         return backend.level
     closed = backend.windows[-1]
-    gain = ONSET_GAIN if closed.shed > closed.handed else RAISE_GAIN
+    gain = ONSET_GAIN if closed.shed > closed.dispatched else RAISE_GAIN
     gain *= MIN_WINDOWS / max(MIN_WINDOWS, len(recent))
     above.sort()
     return ids.Rank(max(backend.level + 1, above[math.ceil(gain * excess)]))
@@ -118,7 +118,7 @@
     """
     band_end = (backend.level // ranks.BAND + 1) * ranks.BAND
     recent = _recent(backend)
-    handed = sum(window.handed for window in recent)
+    handed = sum(window.dispatched for window in recent)
     near = sum(
         1
         for window in recent
--- a/src/gingerturn/internal/core/levels.py
+++ b/src/gingerturn/internal/core/levels.py
@@ -49,16 +49,16 @@
 """In place of a kind: what upstreams shed themselves, whichever kind they answered."""
 
 
-def faded(heard: states.HeardLevel, now: ids.Milliseconds) -> ids.Rank:
+def decayed(heard: states.ReportedLevel, now: ids.Milliseconds) -> ids.Rank:
     """Return what a level heard some time ago counts for now."""
-    silence = now - heard.heard - FRESH_MS
+    silence = now - heard.reported_at - FRESH_MS
     if silence <= 0 or heard.level <= 0:
         return heard.level
     steps = min(FADE_MAX_STEPS, int(silence / FADE_STEP_MS) + 1)
     return ids.Rank(max(0, heard.level - FADE_FIRST_STEP * ((1 << steps) - 1)))
 
 
-def hear(
+def record_report(
     state: states.State,
     service: ids.ServiceName,
     node: ids.NodeId,
@@ -66,71 +66,77 @@
     report: messages.LoadReport,
 ) -> None:
     """Take in what an upstream of a service told with its answer to a kind."""
-    _note(known_of(state, service, _OWN), node, report.level, state.now)
+    _note(service_level_of(state, service, _OWN), node, report.level, state.now)
     if kind:
-        _note(known_of(state, service, kind), node, report.tree_level, state.now)
-    if report.scarce and report.scarce != service:
+        _note(
+            service_level_of(state, service, kind), node, report.tree_level, state.now
+        )
+    if report.bottleneck and report.bottleneck != service:
         _relay(state, report)
 
 
 def _relay(state: states.State, report: messages.LoadReport) -> None:
     """Keep the word that a node passed on, if it is the latest."""
-    told = state.now - max(0.0, report.scarce_age_ms)
-    known = state.relayed.get(report.scarce)
-    if known is None or told > known.heard:
-        word = states.HeardLevel(level=report.scarce_level, heard=told)
-        state.relayed[report.scarce] = word
+    told = state.now - max(0.0, report.bottleneck_age_ms)
+    known = state.relayed_levels.get(report.bottleneck)
+    if known is None or told > known.reported_at:
+        word = states.ReportedLevel(level=report.bottleneck_level, reported_at=told)
+        state.relayed_levels[report.bottleneck] = word
 
 
-def own(state: states.State, service: ids.ServiceName) -> states.HeardLevel:
+def own_level(state: states.State, service: ids.ServiceName) -> states.ReportedLevel:
     """Return the rank below which the upstreams of a service shed, as a whole."""
     return _median(state, service, _OWN)
 
 
-def below(
+def child_level(
     state: states.State, service: ids.ServiceName, kind: str
-) -> states.HeardLevel:
+) -> states.ReportedLevel:
     """Return the rank below which calls that a kind goes on to are shed.
 
     The word on the service that sheds most on its way, or while there is none what its
     homes told.
     """
-    cost = state.costs.told.get(kind)
+    cost = state.costs.reported.get(kind)
     if cost is not None and cost.service != service:
-        word = told_of(state, cost.service)
-        if state.now - word.heard <= FRESH_MS:
+        word = latest_report(state, cost.service)
+        if state.now - word.reported_at <= FRESH_MS:
             return word
     return _median(state, service, kind)
 
 
-def note_age(state: states.State, known: states.HeardLevel) -> None:
+def record_age(state: states.State, known: states.ReportedLevel) -> None:
     """Count how old the word is that decides on a whole request; in the last place
     those of which nothing was ever told."""
     place = len(AGE_BOUNDS_MS) + 1
-    if known.heard:
-        place = bisect.bisect_left(AGE_BOUNDS_MS, state.now - known.heard)
-    state.level_ages[place] += 1
+    if known.reported_at:
+        place = bisect.bisect_left(AGE_BOUNDS_MS, state.now - known.reported_at)
+    state.level_age_counts[place] += 1
 
 
-def told_of(state: states.State, service: ids.ServiceName) -> states.HeardLevel:
+def latest_report(
+    state: states.State, service: ids.ServiceName
+) -> states.ReportedLevel:
     """Return the latest word on a service: of this node where it is a home of it, from
     its upstreams, or from nodes that call it."""
     if service == state.backend.service and state.backend.present:
-        return states.HeardLevel(level=state.backend.level, heard=state.now)
-    direct = own(state, service)
-    relayed = state.relayed.get(service, states.UNHEARD)
-    if relayed.heard <= direct.heard:
+        return states.ReportedLevel(level=state.backend.level, reported_at=state.now)
+    direct = own_level(state, service)
+    relayed = state.relayed_levels.get(service, states.NO_REPORTED_LEVEL)
+    if relayed.reported_at <= direct.reported_at:
         return direct
-    return states.HeardLevel(level=faded(relayed, state.now), heard=relayed.heard)
+    return states.ReportedLevel(
+        level=decayed(relayed, state.now), reported_at=relayed.reported_at
+    )
 
 
-def of_service(
+def expected_level(
     state: states.State, service: ids.ServiceName, kind: str
-) -> states.HeardLevel:
+) -> states.ReportedLevel:
     """Return the rank from which a service as a whole is expected to take calls of a
     kind, the services below it included."""
-    here = own(state, service)
-    deeper = below(state, service, kind)
+    here = own_level(state, service)
+    deeper = child_level(state, service, kind)
     return here if here.level > deeper.level else deeper
 
 
@@ -140,16 +146,18 @@
     if known is None:
         return ranks.LOWEST
     _drop_old(known, state.now)
-    return ids.Rank(known.ranked[0]) if known.ranked else known.level
+    return ids.Rank(known.sorted_levels[0]) if known.sorted_levels else known.level
 
 
-def known_of(
+def service_level_of(
     state: states.State, service: ids.ServiceName, kind: str
 ) -> states.ServiceLevel:
     """Return what is kept of a service's level; starts afresh for an unknown one."""
     known = state.levels.get((service, kind))
     if known is None:
-        known = state.levels[(service, kind)] = states.ServiceLevel(told={}, ranked=[])
+        known = state.levels[(service, kind)] = states.ServiceLevel(
+            by_upstream={}, sorted_levels=[]
+        )
     return known
 
 
@@ -159,14 +167,14 @@
     level: ids.Rank,
     now: ids.Milliseconds,
 ) -> None:
-    told = known.told
+    told = known.by_upstream
     if node in told:
         _drop(known, node)
-    told[node] = states.HeardLevel(level=level, heard=now)
-    bisect.insort(known.ranked, level)
+    told[node] = states.ReportedLevel(level=level, reported_at=now)
+    bisect.insort(known.sorted_levels, level)
     _drop_old(known, now)
-    known.level = _middle(known.ranked)
-    known.heard = now
+    known.level = _middle(known.sorted_levels)
+    known.reported_at = now
 
 
 def _middle(ranked: list[int]) -> ids.Rank:
@@ -175,28 +183,30 @@
 
 def _median(
     state: states.State, service: ids.ServiceName, kind: str
-) -> states.HeardLevel:
+) -> states.ReportedLevel:
     known = state.levels.get((service, kind))
     if known is None:
-        return states.UNHEARD
+        return states.NO_REPORTED_LEVEL
     _drop_old(known, state.now)
-    if known.ranked:
-        known.level = _middle(known.ranked)
-        return states.HeardLevel(level=known.level, heard=known.heard)
-    last = states.HeardLevel(level=known.level, heard=known.heard)
-    return states.HeardLevel(level=faded(last, state.now), heard=known.heard)
+    if known.sorted_levels:
+        known.level = _middle(known.sorted_levels)
+        return states.ReportedLevel(level=known.level, reported_at=known.reported_at)
+    last = states.ReportedLevel(level=known.level, reported_at=known.reported_at)
+    return states.ReportedLevel(
+        level=decayed(last, state.now), reported_at=known.reported_at
+    )
 
 
 def _drop_old(known: states.ServiceLevel, now: ids.Milliseconds) -> None:
     """Drop what upstreams told too long ago; the last median stays, to fade."""
-    told = known.told
+    told = known.by_upstream
     while told:
         node = next(iter(told))
-        if now - told[node].heard <= FRESH_MS:
+        if now - told[node].reported_at <= FRESH_MS:
             return
         _drop(known, node)
 
 
 def _drop(known: states.ServiceLevel, node: str) -> None:
-    level = known.told.pop(node).level
-    del known.ranked[bisect.bisect_left(known.ranked, level)]
+    level = known.by_upstream.pop(node).level
+    del known.sorted_levels[bisect.bisect_left(known.sorted_levels, level)]
--- a/src/gingerturn/internal/core/log_epochs.py
+++ b/src/gingerturn/internal/core/log_epochs.py
@@ -15,7 +15,7 @@
     freshness,
     joining,
     membership,
-    outbox,
+    operator_log,
     quarantine,
     revisions,
     state as states,
@@ -34,25 +34,25 @@
     """
     known = state.log
     if not epoch:
-        known.saw_none = known.saw_none or not known.epoch
+        known.read_without_epoch = known.read_without_epoch or not known.epoch
         return True
     if epoch >= known.epoch:
-        known.lower = 0
+        known.lower_epoch_answers = 0
         _adopt(state, epoch, "the log", out)
         return True
-    known.lower += 1
+    known.lower_epoch_answers += 1
     text = f"An answer of epoch {epoch} is not used, the log was at {known.epoch}."
-    outbox.info(out, "log", text)
-    if known.lower >= LOWER_ANSWERS:
+    operator_log.info(out, "log", text)
+    if known.lower_epoch_answers >= LOWER_ANSWERS:
         text = f"The log tells epoch {epoch} after {known.epoch}; its count went back."
-        outbox.warn(out, "log", text)
-        known.lower = 0
+        operator_log.warn(out, "log", text)
+        known.lower_epoch_answers = 0
         known.epoch = epoch
         _restart(state, out)
     return False
 
 
-def hear(
+def on_reported_epoch(
     state: states.State, epoch: ids.LogEpoch, source: str, out: states.Effects
 ) -> None:
     """Take in an epoch that a member or the answer to a write told, at whatever time it
@@ -69,7 +69,7 @@
     return 0 < epoch < state.log.epoch
 
 
-def on_shorter(
+def on_stream_shortened(
     state: states.State, stream: states.Stream, first: int, out: states.Effects
 ) -> None:
     """Take in that a stream ends before what was read of it, though no epoch told so.
@@ -80,7 +80,7 @@
         f"Stream {stream.name} ends before offset {stream.offset}, and begins at"
         f" {first}: the log was restored from a backup."
     )
-    outbox.warn(out, "log", text)
+    operator_log.warn(out, "log", text)
     _restart(state, out)
 
 
@@ -93,12 +93,12 @@
     known.highest = max(known.highest, epoch)
     if epoch == before:
         return
-    if not before and not known.saw_none:
+    if not before and not known.read_without_epoch:
         # Nothing was read in another epoch. What is under way from one is found late.
-        streams.cover_from_now(state)
+        streams.reset_coverage(state)
         return
     text = f"The log was restored from a backup: epoch {epoch} after {before}"
-    outbox.warn(out, "log", f"{text}, as {source} tells.")
+    operator_log.warn(out, "log", f"{text}, as {source} tells.")
     _restart(state, out)
 
 
@@ -110,7 +110,7 @@
         streams.restart(state, stream)
     claims.on_log_restored(state, out)
     freshness.on_log_restored(state)
-    joining.write_again(state)
-    quarantine.write_again(state)
+    joining.rewrite_join_record(state)
+    quarantine.rewrite_records(state)
     revisions.on_log_restored(state)
     membership.push(state, out)
--- a/src/gingerturn/internal/core/member_order.py
+++ b/src/gingerturn/internal/core/member_order.py
@@ -11,19 +11,19 @@
 from gingerturn.internal import ids
 from gingerturn.internal.core import messages, state as states
 
-KEEPERS = 16
+MAX_CAP_ALLOCATORS = 16
 """Nodes that may keep the caps; more are never passed over at once."""
 
 FANOUT = 8
 """Nodes of a zone that ask one node above them."""
 
 
-def place(node: str) -> tuple[int, str]:
+def sort_key(node: str) -> tuple[int, str]:
     """Return what orders a node among the others."""
     return zlib.crc32(node.encode()), node
 
 
-def above(state: states.State) -> ids.NodeId | None:
+def parent(state: states.State) -> ids.NodeId | None:
     """Return the node above this one: ``None`` for the first of all, the first of all
     for the first of a zone, else one of the own zone."""
     order = _order(state)
@@ -34,12 +34,14 @@
     return order.zone[(order.index - 1) // FANOUT]
 
 
-def keeper(state: states.State, *, passed_over: frozenset[ids.NodeId]) -> ids.NodeId:
+def cap_allocator(
+    state: states.State, *, passed_over: frozenset[ids.NodeId]
+) -> ids.NodeId:
     """Return the node that keeps the caps of workspaces.
 
     :param passed_over: nodes that are not to be asked.
     """
-    for node in _order(state).keepers:
+    for node in _order(state).cap_allocators:
         if node not in passed_over:
             return node
     return state.node
@@ -51,10 +53,10 @@
     return member is not None and member.state is messages.MemberState.ALIVE
 
 
-def owners(state: states.State) -> int:
+def cap_sharer_count(state: states.State) -> int:
     """Return how many nodes own a part of each cap: also those that are suspected or
     gone, since they may be at work on the other side of a parted network."""
-    return _order(state).owners
+    return _order(state).cap_sharers
 
 
 def is_first(state: states.State) -> bool:
@@ -62,13 +64,13 @@
     return _order(state).first == state.node
 
 
-def is_head(state: states.State) -> bool:
+def is_zone_first(state: states.State) -> bool:
     """Tell whether this node is the first of its zone."""
     return _order(state).index == 0
 
 
 def _keeper_place(node: str) -> tuple[int, str]:
-    return place(f"keeper {node}")
+    return sort_key(f"keeper {node}")
 
 
 def _left(
@@ -77,7 +79,7 @@
     """Return what tells whether a member has left by a planned stop."""
 
     def left(member: messages.Member) -> bool:
-        return view.left.get(member.node) == member.incarnation
+        return view.departed.get(member.node) == member.incarnation
 
     return left
 
@@ -85,7 +87,7 @@
 def _order(state: states.State) -> states.MemberOrder:
     """Return the order among the members that are not suspected."""
     view = state.membership
-    known = view.ordered
+    known = view.order_cache
     if known is not None and known.version == view.version:
         return known
     live = [
@@ -93,16 +95,18 @@
         for member in view.members.values()
         if member.state is messages.MemberState.ALIVE or member.node == state.node
     ]
-    first = min((member.node for member in live), key=place, default=state.node)
-    zone = sorted((m.node for m in live if m.zone == state.zone), key=place)
+    first = min((member.node for member in live), key=sort_key, default=state.node)
+    zone = sorted((m.node for m in live if m.zone == state.zone), key=sort_key)
     index = zone.index(state.node) if state.node in zone else 0
     names = (member.node for member in live)
-    view.ordered = states.MemberOrder(
+    view.order_cache = states.MemberOrder(
         first=first,
         zone=zone,
         index=index,
-        owners=max(1, len(view.members) - sum(map(_left(view), view.members.values()))),
-        keepers=heapq.nsmallest(KEEPERS, names, key=_keeper_place),
+        cap_sharers=max(
+            1, len(view.members) - sum(map(_left(view), view.members.values()))
+        ),
+        cap_allocators=heapq.nsmallest(MAX_CAP_ALLOCATORS, names, key=_keeper_place),
         version=view.version,
     )
-    return view.ordered
+    return view.order_cache
--- a/src/gingerturn/internal/core/member_table.py
+++ b/src/gingerturn/internal/core/member_table.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from gingerturn.internal import ids
-from gingerturn.internal.core import messages, outbox, state as states
+from gingerturn.internal.core import messages, operator_log, state as states
 
 FORGET_AFTER_MS = 300_000.0
 
@@ -41,7 +41,7 @@
     return (member.incarnation, member.version, member.state)
 
 
-def put(
+def update(
     state: states.State,
     member: messages.Member,
     out: states.Effects,
@@ -60,8 +60,10 @@
         _log_change(old, member, source, out)
     membership.version += 1
     membership.members[member.node] = member
-    times = rumour_count(state)
-    membership.rumours.put(member.node, times // LISTED_PART if listed else times)
+    times = transmission_count(state)
+    membership.pending_updates.put(
+        member.node, times // LISTED_PART if listed else times
+    )
     if member.state is messages.MemberState.SUSPECT:
         membership.suspected.setdefault(member.node, state.now)
     else:
@@ -71,7 +73,7 @@
     else:
         membership.gone.pop(member.node, None)
     if member.state is messages.MemberState.LEAVING:
-        membership.left[member.node] = member.incarnation
+        membership.departed[member.node] = member.incarnation
     if old is not None:
         _unlist(state, old)
     if member.service and member.state < messages.MemberState.LEAVING:
@@ -99,9 +101,9 @@
     offer = f", offers {member.service or 'nothing'}" if offers_other else ""
     text = f"{member.node} {words}, version {member.version}{offer}, as {source} tells."
     if member.state in _BAD_STATES:
-        outbox.warn(out, "membership", text)
+        operator_log.warn(out, "membership", text)
     else:
-        outbox.info(out, "membership", text)
+        operator_log.info(out, "membership", text)
 
 
 def _unlist(state: states.State, member: messages.Member) -> None:
@@ -110,7 +112,7 @@
         nodes.remove(member.node)
 
 
-def rumour_count(state: states.State) -> int:
+def transmission_count(state: states.State) -> int:
     """Return how often an update is passed on until nearly all have heard it."""
     return 3 * math.ceil(math.log2(len(state.membership.members) + 2))
 
@@ -124,7 +126,7 @@
     ]
 
 
-def some(state: states.State, count: int) -> list[ids.NodeId]:
+def random_members(state: states.State, count: int) -> list[ids.NodeId]:
     """Return some random members that are not gone.
 
     Drawn by index: shuffling all of 4,200 took 4 ms at each push.
@@ -141,10 +143,10 @@
     ][:count]
 
 
-def updates(state: states.State) -> tuple[messages.Member, ...]:
+def updates_to_send(state: states.State) -> tuple[messages.Member, ...]:
     """Return the updates that were passed on least often so far."""
     membership = state.membership
-    chosen = membership.rumours.take(UPDATES_PER_MESSAGE)
+    chosen = membership.pending_updates.take(UPDATES_PER_MESSAGE)
     return tuple(
         membership.members[node] for node in chosen if node in membership.members
     )
@@ -157,10 +159,10 @@
     out: states.Effects,
 ) -> None:
     """Take in that a member, as it is known, has come to another state."""
-    put(state, msgspec.structs.replace(member, state=new_state), out)
+    update(state, msgspec.structs.replace(member, state=new_state), out)
 
 
-def forget_gone(state: states.State, now: ids.Milliseconds) -> None:
+def prune_gone(state: states.State, now: ids.Milliseconds) -> None:
     """Forget the members that have been gone for long."""
     membership = state.membership
     for node, since in list(membership.gone.items()):
@@ -169,6 +171,6 @@
         del membership.gone[node]
         membership.version += 1
         membership.members.pop(node, None)
-        membership.left.pop(ids.NodeId(node), None)
-        membership.rumours.drop(node)
+        membership.departed.pop(ids.NodeId(node), None)
+        membership.pending_updates.drop(node)
         state.upstreams.pop(ids.NodeId(node), None)
--- a/src/gingerturn/internal/core/membership.py
+++ b/src/gingerturn/internal/core/membership.py
@@ -16,8 +16,8 @@
     freshness,
     member_table,
     messages,
-    outbox,
-    quarantine_news,
+    operator_log,
+    quarantine_gossip,
     revisions,
     route_table,
     state as states,
@@ -49,7 +49,7 @@
 """Kinds of messages that a node gets only from one that takes it for a member."""
 
 
-def change_self(
+def update_self(
     state: states.State,
     out: states.Effects,
     *,
@@ -63,7 +63,7 @@
 
     :param urgent: tell some members at once instead of with the next probes.
     """
-    me = state.membership.me
+    me = state.membership.self_member
     if me is None:
         return
     changed = msgspec.structs.replace(
@@ -76,8 +76,8 @@
         else backend_started_ms,
         state=me.state if member_state is None else member_state,
     )
-    state.membership.me = changed
-    member_table.put(state, changed, out)
+    state.membership.self_member = changed
+    member_table.update(state, changed, out)
     if urgent:
         push(state, out)
 
@@ -90,22 +90,22 @@
     """
     membership = state.membership
     if state.now < membership.next_push:
-        membership.push_waits = True
+        membership.push_pending = True
         return
     membership.next_push = state.now + PUSH_EVERY_MS
-    membership.push_waits = False
-    for node in member_table.some(state, URGENT_FANOUT):
+    membership.push_pending = False
+    for node in member_table.random_members(state, URGENT_FANOUT):
         ping(state, node, out)
 
 
 def probe(state: states.State, now: ids.Milliseconds, out: states.Effects) -> None:
     """Ping the next member of a shuffled round."""
     membership = state.membership
-    if not membership.order:
-        membership.order = [str(node) for node in member_table.reachable(state)]
-        state.random.shuffle(membership.order)
-    while membership.order:
-        node = membership.order.pop()
+    if not membership.probe_order:
+        membership.probe_order = [str(node) for node in member_table.reachable(state)]
+        state.random.shuffle(membership.probe_order)
+    while membership.probe_order:
+        node = membership.probe_order.pop()
         member = membership.members.get(node)
         if member is not None and member.state is not messages.MemberState.GONE:
             ping(state, ids.NodeId(node), out, track=True)
@@ -122,7 +122,7 @@
     membership = state.membership
     suspected: list[ids.NodeId] = []
     for sequence, probed in list(membership.probes.items()):
-        waited = now - probed.sent
+        waited = now - probed.timeout_base
         if probed.for_sequence:
             if waited > SUSPECT_AFTER_MS:
                 del membership.probes[sequence]
@@ -133,11 +133,11 @@
         elif waited > INDIRECT_AFTER_MS and not probed.indirect:
             probed.indirect = True
             _probe_again(state, sequence, probed.node, out)
-    if membership.push_waits:
+    if membership.push_pending:
         push(state, out)
     if not _isolated(state):
         _declare_gone(state, now, out)
-    member_table.forget_gone(state, now)
+    member_table.prune_gone(state, now)
     return suspected
 
 
@@ -150,7 +150,7 @@
     out: states.Effects,
 ) -> None:
     """Take in a membership message and answer it."""
-    state.membership.heard = state.now
+    state.membership.last_datagram_at = state.now
     _tell_of_doubt(state, sender)
     kinds = messages.GossipKind
     listed = message.kind is kinds.SYNC_PAGE
@@ -171,15 +171,17 @@
         sync(state, host, port, message.cursor, out)
     urgent = any(member.state is messages.MemberState.LEAVING for member in news)
     if message.kind in _OF_MEMBERS:
-        urgent |= quarantine_news.hear(state, message.quarantine, out)
+        urgent |= quarantine_gossip.on_gossip(state, message.quarantine, out)
     if urgent:
         push(state, out)
     if sender not in state.membership.members and message.kind in _OF_MEMBERS:
         # A node that was restarted while the log was away hears from peers that it
         # does not know: their own records have long ceased to ride along.
         sync(state, host, port, "", out)
-    revisions.hear(state, sender, message.revision, message.config_digest, out)
-    route_table.hear(state, sender, message.route_version, out)
+    revisions.on_peer_revision(
+        state, sender, message.revision, message.config_digest, out
+    )
+    route_table.on_peer_version(state, sender, message.route_version, out)
 
 
 def _tell_of_doubt(state: states.State, sender: ids.NodeId) -> None:
@@ -190,7 +192,7 @@
     """
     membership = state.membership
     if sender in membership.suspected or sender in membership.gone:
-        membership.rumours.put(sender, member_table.rumour_count(state))
+        membership.pending_updates.put(sender, member_table.transmission_count(state))
 
 
 def _merge(
@@ -207,7 +209,7 @@
 
     :return: whether it was news.
     """
-    me = state.membership.me
+    me = state.membership.self_member
     if heard.node == state.node and me is not None:
         return _hear_of_self(state, me, heard, out)
     known = state.membership.members.get(heard.node)
@@ -220,7 +222,7 @@
     if known is not None and _started_anew(known, heard):
         # Nothing that the old one told counts any more.
         _forget_upstream(state, heard.node)
-    member_table.put(state, heard, out, source=sender, listed=listed)
+    member_table.update(state, heard, out, source=sender, listed=listed)
     return True
 
 
@@ -238,7 +240,7 @@
         return
     # Attempts that are under way there still end.
     state.upstreams[node] = states.Upstream(
-        node=node, own=states.UNHEARD, outstanding=known.outstanding
+        node=node, own_level=states.NO_REPORTED_LEVEL, outstanding=known.outstanding
     )
 
 
@@ -251,15 +253,19 @@
     if heard.incarnation > me.incarnation:
         # The wall clock from which incarnations are taken was set back before this
         # start; keeping the lower number would leave this node out for good.
-        outbox.warn(out, "membership", f"A later incarnation of {me.node} was known.")
+        operator_log.warn(
+            out, "membership", f"A later incarnation of {me.node} was known."
+        )
         state.incarnation = ids.Incarnation(heard.incarnation + 1)
-        state.membership.me = msgspec.structs.replace(me, incarnation=state.incarnation)
-        change_self(state, out)
+        state.membership.self_member = msgspec.structs.replace(
+            me, incarnation=state.incarnation
+        )
+        update_self(state, out)
         return False
     if member_table.precedence(heard) > member_table.precedence(me):
         version = max(me.version, heard.version)
-        state.membership.me = msgspec.structs.replace(me, version=version)
-        change_self(state, out, urgent=False)
+        state.membership.self_member = msgspec.structs.replace(me, version=version)
+        update_self(state, out, urgent=False)
     return False
 
 
@@ -278,7 +284,7 @@
     membership.sequence += 1
     if track:
         membership.probes[membership.sequence] = states.Probe(
-            node=node, sent=state.now, asked=state.now
+            node=node, timeout_base=state.now, sent_at=state.now
         )
     _ping(state, node, membership.sequence, out)
 
@@ -309,7 +315,7 @@
         revision=state.revisions.revision,
         route_version=0 if state.routes is None else state.routes.version,
         log_epoch=state.log.highest,
-        config_digest=revisions.word(state),
+        config_digest=revisions.config_digest(state),
         **riding,
     )
 
@@ -321,9 +327,9 @@
         state,
         kind,
         sequence,
-        members=member_table.updates(state),
-        quarantine=quarantine_news.news(state),
-        proven_age_ms=freshness.word(state),
+        members=member_table.updates_to_send(state),
+        quarantine=quarantine_gossip.outgoing(state),
+        verified_age_ms=freshness.advertised_age_ms(state),
     )
 
 
@@ -343,7 +349,7 @@
     probed = state.membership.probes.pop(message.sequence, None)
     if probed is None:
         return
-    freshness.note_word(state, probed.asked, message)
+    freshness.on_peer_age(state, probed.sent_at, message)
     if probed.for_sequence:
         _answer(
             state,
@@ -379,7 +385,7 @@
     _ping(state, node, sequence, out)
     helpers = [
         other
-        for other in member_table.some(state, INDIRECT_PROBES + 1)
+        for other in member_table.random_members(state, INDIRECT_PROBES + 1)
         if other != node
     ]
     for helper in helpers[:INDIRECT_PROBES]:
@@ -426,7 +432,7 @@
     state: states.State, host: str, port: int, cursor: str, out: states.Effects
 ) -> None:
     """Ask a node for the members that it knows, by pages, and tell it of this one."""
-    me = state.membership.me
+    me = state.membership.self_member
     message = _gossip(
         state,
         messages.GossipKind.SYNC_REQUEST,
--- a/src/gingerturn/internal/core/messages.py
+++ b/src/gingerturn/internal/core/messages.py
@@ -46,13 +46,13 @@
     load: int
     limit: int
     leaving: bool = False
-    scarce: ids.ServiceName = ids.ServiceName("")
-    slot_ms: float = 0.0
-    scarce_level: ids.Rank = ids.Rank(0)
-    scarce_age_ms: float = 0.0
+    bottleneck: ids.ServiceName = ids.ServiceName("")
+    bottleneck_slot_ms: float = 0.0
+    bottleneck_level: ids.Rank = ids.Rank(0)
+    bottleneck_age_ms: float = 0.0
 
 
-class CallTerms(msgspec.Struct, frozen=True, array_like=True, gc=False):
+class CallMetadata(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """What an entry node tells the home node about a call.
 
     :param deadline_ms: time left, relative so that clocks need not agree.
@@ -80,7 +80,7 @@
     repeatable: bool
     key: str = ""
     key_derived: bool = False
-    first: bool = True
+    never_ran: bool = True
     ticket: str = ""
     repeat: bool = False
     fingerprint: ids.Fingerprint = ids.Fingerprint(0)
@@ -102,8 +102,8 @@
     retry_after_ms: float
     decision: str
     holder: str = ""
-    arrived: bool = False
-    room: bool = False
+    reached_backend: bool = False
+    had_free_slots: bool = False
 
 
 class MemberState(enum.IntEnum):
@@ -147,7 +147,7 @@
     CAPS = "caps"
 
 
-class BackendEnd(msgspec.Struct, frozen=True, array_like=True, gc=False):
+class BackendCrash(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """A backend server ended by itself.
 
     :param node: the node beside it.
@@ -165,7 +165,7 @@
     age_ms: ids.Milliseconds = 0.0
 
 
-class QuarantineWord(msgspec.Struct, frozen=True, array_like=True, gc=False):
+class QuarantineUpdate(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """What a node holds a request for.
 
     :param request: its fingerprint.
@@ -174,22 +174,22 @@
     """
 
     request: int
-    ends: int
+    crash_count: int
     age_ms: ids.Milliseconds
 
 
-class QuarantineNews(msgspec.Struct, frozen=True, array_like=True, gc=False):
+class QuarantineGossip(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """What rides on a membership message about requests that end backend servers.
 
     :param digest: of the requests that the sender keeps out, 32 bits.
     """
 
-    ends: tuple[BackendEnd, ...] = ()
-    words: tuple[QuarantineWord, ...] = ()
+    crashes: tuple[BackendCrash, ...] = ()
+    updates: tuple[QuarantineUpdate, ...] = ()
     digest: int = 0
 
 
-NO_QUARANTINE_NEWS = QuarantineNews()
+NO_QUARANTINE_GOSSIP = QuarantineGossip()
 
 
 class CapDemand(msgspec.Struct, frozen=True, array_like=True, gc=False):
@@ -207,12 +207,12 @@
 
     workspace: str
     rate_milli: int
-    held_milli: int
-    need: int
-    spilled_milli: int
+    leased_milli: int
+    waiting: int
+    overflowed_milli: int
 
 
-class CapAsk(msgspec.Struct, frozen=True, array_like=True, tag=True, gc=False):
+class CapRequest(msgspec.Struct, frozen=True, array_like=True, tag="CapAsk", gc=False):
     """A node lends its parts of all caps to the keeper, and asks for leases.
 
     :param number: pairs the answer with it.
@@ -249,11 +249,11 @@
     number: int
     stamp: ids.Milliseconds
     leases: tuple[CapLease, ...]
-    keeper: str = ""
+    allocator: str = ""
     released: bool = False
 
 
-class CapUse(msgspec.Struct, frozen=True, array_like=True, gc=False):
+class CapUsage(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """What was let pass of a workspace lately.
 
     :param first: number of the first slice of time, from the present one on.
@@ -274,11 +274,11 @@
     """
 
     share: float
-    loans: tuple[tuple[str, ids.Milliseconds], ...]
-    used: tuple[CapUse, ...]
+    delegations: tuple[tuple[str, ids.Milliseconds], ...]
+    used: tuple[CapUsage, ...]
 
 
-CapMessage = CapAsk | CapAnswer | CapHandover
+CapMessage = CapRequest | CapAnswer | CapHandover
 
 
 class Gossip(msgspec.Struct, frozen=True, array_like=True, gc=False):
@@ -303,8 +303,8 @@
     target: str = ""
     cursor: str = ""
     route_version: int = 0
-    quarantine: QuarantineNews = NO_QUARANTINE_NEWS
-    proven_age_ms: ids.Milliseconds = -1.0
+    quarantine: QuarantineGossip = NO_QUARANTINE_GOSSIP
+    verified_age_ms: ids.Milliseconds = -1.0
     caps: CapMessage | None = None
     log_epoch: ids.LogEpoch = ids.LogEpoch(0)
     config_digest: int = 0
--- a/src/gingerturn/internal/core/standstill.py
+++ b/src/gingerturn/internal/core/pause_detection.py
@@ -6,7 +6,7 @@
 """
 
 from gingerturn.internal import ids
-from gingerturn.internal.core import outbox, state as states
+from gingerturn.internal.core import operator_log, state as states
 
 STOOD_STILL_MS = 500.0
 """Ticks are due each 100 ms at the latest. One that comes later by several of them was
@@ -20,16 +20,16 @@
 
     :return: how long it was; 0 where there was none.
     """
-    elapsed = now - state.ticked if state.ticked else 0.0
-    state.ticked = now
+    elapsed = now - state.last_tick_at if state.last_tick_at else 0.0
+    state.last_tick_at = now
     if elapsed < STOOD_STILL_MS:
         return 0.0
     membership = state.membership
     for probed in membership.probes.values():
-        probed.sent = now
+        probed.timeout_base = now
     for node in membership.suspected:
         membership.suspected[node] = now
     # The backend server beside it could not be heard either.
-    state.backend.expires += elapsed
-    outbox.warn(out, "node", f"This node stood still for {elapsed:.0f} ms.")
+    state.backend.expires_at += elapsed
+    operator_log.warn(out, "node", f"This node stood still for {elapsed:.0f} ms.")
     return elapsed
--- a/src/gingerturn/internal/core/pollers.py
+++ b/src/gingerturn/internal/core/pollers.py
@@ -46,11 +46,11 @@
 def check(state: states.State, now: ids.Milliseconds, out: states.Effects) -> None:
     """Begin or cease to wait for a new table."""
     stream = state.streams.get(streams.ROUTES)
-    if stream is None or now - state.started < SETTLED_MS:
+    if stream is None or now - state.started_at < SETTLED_MS:
         return
-    stream.followed = waits(state, now)
-    stream.hold_ms = _hold_ms(state)
-    streams.resume(state, out)
+    stream.followed = is_poller(state, now)
+    stream.long_poll_ms = _hold_ms(state)
+    streams.retry_due(state, out)
 
 
 def _hold_ms(state: states.State) -> int:
@@ -64,16 +64,16 @@
     return freshness_renewal.HOLD_MS if freshness.is_bounded(state) else FIRST_HOLD_MS
 
 
-def waits(state: states.State, now: ids.Milliseconds) -> bool:
+def is_poller(state: states.State, now: ids.Milliseconds) -> bool:
     """Tell whether this node is one of those that wait at the log."""
-    if now - state.membership.heard > ALONE_MS:
+    if now - state.membership.last_datagram_at > ALONE_MS:
         return True
     before = 0
-    own = member_order.place(state.node)
+    own = member_order.sort_key(state.node)
     for member in state.membership.members.values():
         if member.zone != state.zone or member.state is not messages.MemberState.ALIVE:
             continue
-        before += member_order.place(member.node) < own
+        before += member_order.sort_key(member.node) < own
         if before >= A_ZONE:
             return False
     return True
--- a/src/gingerturn/internal/core/presence.py
+++ b/src/gingerturn/internal/core/presence.py
@@ -3,12 +3,12 @@
 from gingerturn.internal import ids
 from gingerturn.internal.core import (
     admission,
-    backend_ends,
+    backend_crashes,
     decisions,
     events,
     hosting,
     instances,
-    outbox,
+    operator_log,
     replies,
     state as states,
 )
@@ -22,27 +22,27 @@
     declared = state.configuration.service(event.service).slots
     slots = event.slots if declared is None else min(declared, event.slots)
     if instances.is_new_start(backend, event.instance, event.started_ms):
-        backend_ends.on_started_anew(state, out)
+        backend_crashes.on_restarted(state, out)
         if event.instance == backend.instance:
             text = f"{event.service} {event.instance} started anew."
-            outbox.info(out, "backend", text)
-            hosting.end_running(state, out)
-        instances.begin(state, event.instance)
+            operator_log.info(out, "backend", text)
+            hosting.fail_running(state, out)
+        instances.begin_instance(state, event.instance)
     backend.started_ms = event.started_ms or backend.started_ms
     backend.sequence = max(backend.sequence, event.sequence)
     if backend.present and backend.service != event.service:
-        outbox.warn(out, "backend", f"Service changed to {event.service}.")
+        operator_log.warn(out, "backend", f"Service changed to {event.service}.")
     admission.announce(state, event.now, slots=max(1, slots), cold=event.cold)
     if not backend.present:
         text = f"{event.service} announced, {slots} slots."
-        outbox.info(out, "backend", text)
+        operator_log.info(out, "backend", text)
     backend.service = event.service
     backend.host = event.host
     backend.port = event.port
     backend.present = True
     backend.leaving = False
-    backend.expires = event.now + event.ttl_ms
-    hosting.fill(state, out)
+    backend.expires_at = event.now + event.ttl_ms
+    hosting.start_queued(state, out)
 
 
 def on_withdrawn(
@@ -55,13 +55,15 @@
     backend = state.backend
     if instances.is_of_earlier_start(backend, event.instance, event.started_ms):
         return False
-    instances.note_left(state, event.instance, event.started_ms)
+    instances.record_departure(state, event.instance, event.started_ms)
     if event.instance and event.instance != backend.instance:
         return False
     if not backend.present or backend.leaving:
         return False
     backend.leaving = True
-    outbox.info(out, "backend", f"{backend.service} {backend.instance} is leaving.")
+    operator_log.info(
+        out, "backend", f"{backend.service} {backend.instance} is leaving."
+    )
     replies.refuse_queue(state, decisions.Rule.LEAVING, out)
     return True
 
@@ -69,9 +71,9 @@
 def expire(state: states.State, now: ids.Milliseconds, out: states.Effects) -> bool:
     """Withdraw a backend server that stopped renewing; return whether it did."""
     backend = state.backend
-    if not backend.present or now < backend.expires:
+    if not backend.present or now < backend.expires_at:
         return False
     backend.present = False
-    outbox.warn(out, "backend", f"{backend.service} stopped renewing.")
+    operator_log.warn(out, "backend", f"{backend.service} stopped renewing.")
     replies.refuse_queue(state, decisions.Rule.NO_BACKEND, out)
     return True
--- a/src/gingerturn/internal/core/quarantine.py
+++ b/src/gingerturn/internal/core/quarantine.py
@@ -16,12 +16,12 @@
 
 from gingerturn.internal import ids
 from gingerturn.internal.core import (
-    blame,
+    crash_attribution,
     events,
     keys,
     member_table,
     messages,
-    quarantine_news,
+    quarantine_gossip,
     quarantine_table as table,
     state as states,
     streams,
@@ -47,7 +47,7 @@
 What is under way in many backend servers at once is among them."""
 
 
-def note_end(
+def record_crash(
     state: states.State, requests: collections.abc.Sequence[int], out: states.Effects
 ) -> None:
     """Take in that the backend server beside this node ended by itself.
@@ -55,51 +55,55 @@
     :param requests: what was under way there.
     """
     known = state.quarantine
-    suspects = [found for found in requests if found not in known.runs]
+    suspects = [found for found in requests if found not in known.recent_runs]
     for found in requests:
         # It may have become deadly since; the next run here tells anew.
-        known.runs.pop(found, None)
+        known.recent_runs.pop(found, None)
     if len(suspects) > MAX_REQUESTS:
         recurring = [found for found in suspects if found in known.suspects]
         others = [found for found in suspects if found not in known.suspects]
         suspects = [*recurring, *state.random.sample(others, len(others))]
         del suspects[MAX_REQUESTS:]
-    number = state.backend.ends
+    number = state.backend.crash_count
     for part, first in enumerate(range(0, len(suspects), REQUESTS_AN_END)):
-        end = messages.BackendEnd(
+        end = messages.BackendCrash(
             node=state.node,
             incarnation=state.incarnation,
             number=number,
             part=part,
             requests=tuple(suspects[first : first + REQUESTS_AN_END]),
         )
-        table.keep_end(state, end)
-    table.judge(state, out)
+        table.add_crash(state, end)
+    table.update_quarantined(state, out)
 
 
-def note_run(state: states.State, request: int, out: states.Effects) -> None:
+def record_run(state: states.State, request: int, out: states.Effects) -> None:
     """Take in that a request ran to an answer at the backend server of this node."""
     known = state.quarantine
-    known.runs.pop(request, None)
-    known.runs[request] = None
-    if len(known.runs) > RUNS_KEPT:
-        del known.runs[next(iter(known.runs))]
-    if request in known.suspects or request in known.kept_out:
+    known.recent_runs.pop(request, None)
+    known.recent_runs[request] = None
+    if len(known.recent_runs) > RUNS_KEPT:
+        del known.recent_runs[next(iter(known.recent_runs))]
+    if request in known.suspects or request in known.quarantined:
         _clear(state, request, out)
 
 
-def word_on(state: states.State, request: int) -> states.Word | None:
+def entry_of(state: states.State, request: int) -> states.QuarantineEntry | None:
     """Return why a request is kept out, or ``None`` where it is not."""
-    return state.quarantine.kept_out.get(request)
+    return state.quarantine.quarantined.get(request)
 
 
 def trial_due_in(state: states.State, request: int) -> ids.Milliseconds:
     """Return how long it takes until a request that is kept out is tried again."""
     known = state.quarantine
-    word = known.kept_out[request]
+    word = known.quarantined[request]
     trial = known.trials.get(request)
-    last = word.at if trial is None else max(word.at, trial.at)
-    return max(0.0, last + _pause(word.ends) - state.now)
+    last = (
+        word.last_crash_at
+        if trial is None
+        else max(word.last_crash_at, trial.started_at)
+    )
+    return max(0.0, last + _pause(word.crash_count) - state.now)
 
 
 def trial_node(state: states.State, call: states.Call) -> ids.NodeId | None:
@@ -112,32 +116,32 @@
 def admits(state: states.State, hosted: states.Hosted) -> bool:
     """Tell whether a call may run here: it is not kept out, or this is its trial."""
     known = state.quarantine
-    request = hosted.terms.fingerprint
-    if request not in known.kept_out:
+    request = hosted.metadata.fingerprint
+    if request not in known.quarantined:
         return True
     trial = known.trials.get(request)
     if trial is not None and trial.hosted == hosted.id:
         return True
     if trial_due_in(state, request) > 0.0:
         return False
-    if _trial_home(state, request, hosted.terms.service) != state.node:
+    if _trial_home(state, request, hosted.metadata.service) != state.node:
         return False
-    known.trials[request] = states.Trial(hosted=hosted.id, at=state.now)
+    known.trials[request] = states.Trial(hosted=hosted.id, started_at=state.now)
     return True
 
 
-def figures_on(state: states.State, request: int) -> tuple[float, ...]:
+def decision_figures(state: states.State, request: int) -> tuple[float, ...]:
     """Return what a decision to keep a request out saw."""
-    word = state.quarantine.kept_out[request]
-    since_s = (state.now - word.at) / 1000.0
-    return (float(word.ends), since_s, trial_due_in(state, request) / 1000.0)
+    word = state.quarantine.quarantined[request]
+    since_s = (state.now - word.last_crash_at) / 1000.0
+    return (float(word.crash_count), since_s, trial_due_in(state, request) / 1000.0)
 
 
 def on_cleared(
     state: states.State, event: events.RequestCleared, out: states.Effects
 ) -> None:
     """Let a request run again, since an operator says so."""
-    kept_out = event.request in state.quarantine.kept_out
+    kept_out = event.request in state.quarantine.quarantined
     if kept_out:
         _clear(state, event.request, out)
     record = messages.AuditRecord(
@@ -156,14 +160,14 @@
     :return: whether the record was one of these.
     """
     known = state.quarantine
-    request = known.saving.pop(number, None)
+    request = known.pending_saves.pop(number, None)
     if request is None:
         return False
     (known.saved if done else known.unsaved).add(request)
     return True
 
 
-def write_again(state: states.State) -> None:
+def rewrite_records(state: states.State) -> None:
     """Put again what this node put on the log, as the log may have lost it."""
     known = state.quarantine
     known.unsaved |= known.saved & _held(known)
@@ -172,7 +176,7 @@
 
 def _held(known: states.Quarantine) -> set[int]:
     """Return the requests of which the log is to tell."""
-    return known.kept_out.keys() | known.cleared.keys()
+    return known.quarantined.keys() | known.cleared_at.keys()
 
 
 def check(state: states.State, now: ids.Milliseconds, out: states.Effects) -> None:
@@ -183,26 +187,26 @@
         table.save(state, request, out)
     old_ends = [
         id_
-        for id_, end in known.ends.items()
-        if now - end.at >= quarantine_news.KEPT_MS
+        for id_, end in known.crashes.items()
+        if now - end.crashed_at >= quarantine_gossip.KEPT_MS
     ]
     old = [
         r
-        for r, word in known.told.items()
-        if now - word.at >= quarantine_news.FORGOTTEN_MS
+        for r, word in known.reported.items()
+        if now - word.last_crash_at >= quarantine_gossip.FORGOTTEN_MS
     ]
     if not old_ends and not old:
         return
     # What is kept out stays so when the ends that tell of it are forgotten.
-    known.told.update(known.kept_out)
+    known.reported.update(known.quarantined)
     for id_ in old_ends:
-        del known.ends[id_]
+        del known.crashes[id_]
     for request in old:
-        known.told.pop(request, None)
-    for request, at in list(known.cleared.items()):
-        if now - at >= quarantine_news.FORGOTTEN_MS:
-            del known.cleared[request]
-    table.judge(state, out)
+        known.reported.pop(request, None)
+    for request, at in list(known.cleared_at.items()):
+        if now - at >= quarantine_gossip.FORGOTTEN_MS:
+            del known.cleared_at[request]
+    table.update_quarantined(state, out)
     known.saved &= _held(known)
     for request in old:
         if _drops_record(state, request):
@@ -211,7 +215,7 @@
 
 def _clear(state: states.State, request: int, out: states.Effects) -> None:
     """Hold nothing against a request any more, here, at other nodes and on the log."""
-    on_log = request in state.quarantine.kept_out
+    on_log = request in state.quarantine.quarantined
     table.clear(state, request, state.now, out)
     if on_log:
         table.save(state, request, out)
@@ -221,11 +225,11 @@
     """Tell whether it is on this node to take a forgotten request off the log; all
     nodes forget it at about the same time."""
     nodes = [state.node, *member_table.reachable(state)]
-    return keys.preferred(ids.fingerprint_text(request), nodes) == state.node
+    return keys.preferred_node(ids.fingerprint_text(request), nodes) == state.node
 
 
 def _pause(ends: int) -> ids.Milliseconds:
-    factor = TRIAL_FACTOR ** min(ends - blame.ENDS_TO_KEEP_OUT, 8)
+    factor = TRIAL_FACTOR ** min(ends - crash_attribution.CRASHES_TO_QUARANTINE, 8)
     return min(TRIAL_PAUSE_MS * factor, MAX_TRIAL_PAUSE_MS)
 
 
@@ -233,4 +237,4 @@
     state: states.State, request: int, service: ids.ServiceName
 ) -> ids.NodeId | None:
     nodes = state.membership.by_service.get(service)
-    return keys.preferred(ids.fingerprint_text(request), nodes) if nodes else None
+    return keys.preferred_node(ids.fingerprint_text(request), nodes) if nodes else None
--- a/src/gingerturn/internal/core/rationing.py
+++ b/src/gingerturn/internal/core/rationing.py
@@ -33,7 +33,7 @@
 than the call."""
 
 
-class Wants(msgspec.Struct):
+class RetryDemand(msgspec.Struct):
     """The repeats of one service that calls of this node have wanted of late.
 
     :param seen: (time, rank) of each, in the order of time.
@@ -45,14 +45,14 @@
     renewed: ids.Milliseconds = -math.inf
 
 
-def note(wants: Wants, rank: ids.Rank, now: ids.Milliseconds) -> None:
+def record_demand(wants: RetryDemand, rank: ids.Rank, now: ids.Milliseconds) -> None:
     """Count a call that wants a repeat."""
     wants.seen.append((now, rank))
     if len(wants.seen) > 2 * MOST_KEPT:
         del wants.seen[:-MOST_KEPT]
 
 
-def cut(wants: Wants, supply: float, now: ids.Milliseconds) -> ids.Rank:
+def minimum_rank(wants: RetryDemand, supply: float, now: ids.Milliseconds) -> ids.Rank:
     """Return the rank from which calls may be repeated.
 
     :param supply: repeats that the budget allows within :data:`HORIZON_MS`.
--- a/src/gingerturn/internal/core/readiness.py
+++ b/src/gingerturn/internal/core/readiness.py
@@ -9,4 +9,4 @@
         return False
     if state.routed and state.routes is None:
         return False
-    return state.membership.listed or not state.keyed_log
+    return state.membership.members_listed or not state.keyed_log
--- a/src/gingerturn/internal/core/reducer.py
+++ b/src/gingerturn/internal/core/reducer.py
@@ -29,16 +29,16 @@
     log_epochs,
     membership,
     messages,
-    outbox,
+    operator_log,
+    pause_detection,
     pollers,
     presence,
     quarantine,
-    quarantine_news,
+    quarantine_gossip,
     replies,
     revisions,
     route_table,
     sending,
-    standstill,
     state as states,
     streams,
     timers,
@@ -97,7 +97,7 @@
 def _on_started(
     state: states.State, event: events.Started, out: states.Effects
 ) -> None:
-    state.started = event.now
+    state.started_at = event.now
     state.incarnation = event.incarnation
     state.zone = event.zone
     state.region = event.region
@@ -136,7 +136,7 @@
 
 def _on_tick(state: states.State, event: events.Tick, out: states.Effects) -> None:
     now = state.now
-    standstill.check(state, now, out)
+    pause_detection.check(state, now, out)
     while state.deadlines and state.deadlines[0][0] <= now:
         _, which, number = heapq.heappop(state.deadlines)
         if which == calls.CALL_DEADLINE:
@@ -144,7 +144,7 @@
         else:
             hosting.on_deadline(state, ids.HostedId(number), out)
     timers.run_due(state, now, _TIMER_HANDLERS, out)
-    streams.resume(state, out)
+    streams.retry_due(state, out)
 
 
 def next_tick(state: states.State) -> ids.Milliseconds:
@@ -155,7 +155,7 @@
     while deadlines and not _is_open(state, deadlines[0]):
         heapq.heappop(deadlines)
     first = deadlines[0][0] if deadlines else math.inf
-    due = min(first, timers.next_due(state), streams.next_read(state))
+    due = min(first, timers.next_due(state), streams.next_retry_at(state))
     return max(due, state.now + timers.TICK_MS)
 
 
@@ -176,7 +176,7 @@
         freshness_renewal.on_read_ended(state)
     if _is_usable(state, stream, event, out):
         _take_read(state, stream, event, out)
-    streams.resume(state, out)
+    streams.retry_due(state, out)
 
 
 def _is_usable(
@@ -191,7 +191,7 @@
     if log_epochs.accept(state, event.epoch, out):
         return True
     if event.generation == stream.generation and not _is_extra(event):
-        streams.failed(state, stream, out)
+        streams.on_read_failed(state, stream, out)
     return False
 
 
@@ -209,12 +209,12 @@
     if event.generation != stream.generation:
         # Read from an offset of the epoch before.
         return
-    streams.note_missing(stream, event, out)
+    streams.record_missing(stream, event, out)
     if event.missing:
-        if event.first > stream.offset or stream.missing > 1:
+        if event.first > stream.offset or stream.consecutive_missing > 1:
             streams.skip_missing(state, stream, event.first)
         else:
-            log_epochs.on_shorter(state, stream, event.first, out)
+            log_epochs.on_stream_shortened(state, stream, event.first, out)
         return
     start = stream.offset
     gap = streams.advance(
@@ -241,8 +241,8 @@
     if joins:
         joining.on_join_records(state, joins, out)
     reached = event.first + len(event.records) >= event.end
-    if event.stream == streams.ROUTES and reached and not gap and event.asked:
-        freshness.note_read(state, event.asked, held_ms=event.held_ms)
+    if event.stream == streams.ROUTES and reached and not gap and event.requested_at:
+        freshness.on_read(state, event.requested_at, held_ms=event.held_open_ms)
 
 
 def _on_record(
@@ -255,12 +255,12 @@
     changed = False
     if isinstance(record, messages.QuarantineRecord):
         if stream == streams.MEMBERS:
-            quarantine_news.on_record(state, record, out)
+            quarantine_gossip.on_record(state, record, out)
     elif isinstance(record, messages.ClaimBatch):
         if stream == keys.stream_name(state.backend.service):
             claims.on_record(state, record, out)
     elif isinstance(record, routes.RouteTable) and stream == streams.ROUTES:
-        freshness.note_table(state, record.version)
+        freshness.on_table(state, record.version)
         _put_routes(state, record, out)
     elif stream != streams.CONFIG:
         return
@@ -279,9 +279,9 @@
     if stream is None:
         return
     if not _is_usable(state, stream, event, out):
-        streams.resume(state, out)
+        streams.retry_due(state, out)
         return
-    streams.base(state, stream, end=event.end, out=out)
+    streams.on_base_read(state, stream, end=event.end, out=out)
     decoded = [messages.decode_record(content) for content in event.records]
     if event.stream == streams.MEMBERS:
         joins = [r for r in decoded if isinstance(r, messages.JoinRecord)]
@@ -289,25 +289,25 @@
         decoded = [r for r in decoded if not isinstance(r, messages.JoinRecord)]
     for record in decoded:
         _on_record(state, event.stream, event.end, record, out)
-    if event.stream == streams.ROUTES and event.asked:
-        freshness.note_read(state, event.asked)
-    streams.resume(state, out)
+    if event.stream == streams.ROUTES and event.requested_at:
+        freshness.on_read(state, event.requested_at)
+    streams.retry_due(state, out)
 
 
 def _on_put_done(
     state: states.State, event: events.PutDone, out: states.Effects
 ) -> None:
-    log_epochs.hear(state, event.epoch, "a put", out)
+    log_epochs.on_reported_epoch(state, event.epoch, "a put", out)
     lasts = not log_epochs.is_earlier(state, event.epoch)
     quarantine.on_saved(state, event.put, done=lasts)
     joining.on_put_ended(state, event.put, out, done=lasts)
-    streams.resume(state, out)
+    streams.retry_due(state, out)
 
 
 def _on_put_failed(
     state: states.State, event: events.PutFailed, out: states.Effects
 ) -> None:
-    log_epochs.hear(state, event.epoch, "a put", out)
+    log_epochs.on_reported_epoch(state, event.epoch, "a put", out)
     quarantine.on_saved(state, event.put, done=False)
     joining.on_put_ended(state, event.put, out, done=False)
 
@@ -333,19 +333,19 @@
 def _on_log_read_failed(
     state: states.State, event: events.LogReadFailed, out: states.Effects
 ) -> None:
-    log_epochs.hear(state, event.epoch, "a refused read", out)
+    log_epochs.on_reported_epoch(state, event.epoch, "a refused read", out)
     if event.extra:
         freshness_renewal.on_read_ended(state)
         return
     stream = state.streams.get(event.stream)
     if stream is not None and event.generation == stream.generation:
-        streams.failed(state, stream, out)
+        streams.on_read_failed(state, stream, out)
 
 
 def _on_append_done(
     state: states.State, event: events.AppendDone, out: states.Effects
 ) -> None:
-    log_epochs.hear(state, event.epoch, "an append", out)
+    log_epochs.on_reported_epoch(state, event.epoch, "an append", out)
     # The acknowledgement decides nothing: claims and publications count when they
     # are read back in the log's order.
     lasts = not log_epochs.is_earlier(state, event.epoch)
@@ -356,7 +356,7 @@
 def _on_append_failed(
     state: states.State, event: events.AppendFailed, out: states.Effects
 ) -> None:
-    log_epochs.hear(state, event.epoch, "an append", out)
+    log_epochs.on_reported_epoch(state, event.epoch, "an append", out)
     if quarantine.on_saved(state, event.append, done=False):
         return
     if event.append in state.appends:
@@ -369,8 +369,8 @@
     state: states.State, event: events.DatagramReceived, out: states.Effects
 ) -> None:
     told = event.message.caps
-    if isinstance(told, messages.CapAsk):
-        caps.on_ask(state, event.sender, event.host, event.port, told, out)
+    if isinstance(told, messages.CapRequest):
+        caps.on_request(state, event.sender, event.host, event.port, told, out)
         return
     if isinstance(told, messages.CapAnswer):
         caps.on_answer(state, event.sender, told, out)
@@ -378,12 +378,12 @@
     if isinstance(told, messages.CapHandover):
         caps.on_handover(state, event.sender, told, out)
         return
-    log_epochs.hear(state, event.message.log_epoch, event.sender, out)
+    log_epochs.on_reported_epoch(state, event.message.log_epoch, event.sender, out)
     membership.on_gossip(
         state, event.sender, event.host, event.port, event.message, out
     )
-    if state.waiting:
-        sending.place_waiting(state, out)
+    if state.waiting_calls:
+        sending.send_waiting(state, out)
 
 
 def _on_snapshot(
@@ -398,13 +398,13 @@
 ) -> None:
     backend = state.backend
     told = (event.instance, event.sequence, event.started_ms)
-    if instances.is_late(state, *told):
+    if instances.is_outdated(state, *told):
         return
     before = _offered(backend)
     presence.on_announced(state, event, out)
     after = _offered(backend)
     if after != before and not state.stopping:
-        membership.change_self(
+        membership.update_self(
             state,
             out,
             service=backend.service,
@@ -412,8 +412,8 @@
             backend_started_ms=backend.started_ms,
             member_state=messages.MemberState.ALIVE,
         )
-    if state.waiting:
-        sending.place_waiting(state, out)
+    if state.waiting_calls:
+        sending.send_waiting(state, out)
     _follow_claims(state, out)
 
 
@@ -460,7 +460,7 @@
 
 def _offer_nothing(state: states.State, out: states.Effects) -> None:
     """Tell the members that no backend server takes work here any more."""
-    membership.change_self(state, out, service=ids.ServiceName(""), slots=0)
+    membership.update_self(state, out, service=ids.ServiceName(""), slots=0)
 
 
 def _on_stop_requested(
@@ -474,15 +474,15 @@
     state.depart_at = state.stop_after - STOP_LINGER_MS
     if event.grace_ms > 0:
         state.stop_by = state.now + max(0.0, event.grace_ms - LAST_ANSWERS_MS)
-    outbox.info(out, "node", "Planned stop begins.")
+    operator_log.info(out, "node", "Planned stop begins.")
 
 
 def _depart(state: states.State, out: states.Effects) -> None:
     """Take no more work for the backend server, and tell the members."""
     state.departed = True
-    outbox.info(out, "node", "No more calls are taken for the backend server.")
+    operator_log.info(out, "node", "No more calls are taken for the backend server.")
     replies.refuse_queue(state, decisions.Rule.STOPPING, out)
-    membership.change_self(state, out, member_state=messages.MemberState.LEAVING)
+    membership.update_self(state, out, member_state=messages.MemberState.LEAVING)
     if state.keyed_log:
         out.append(
             effects.PutRecord(
@@ -530,15 +530,15 @@
     for node in sorted(doubted):
         if node not in state.membership.suspected:
             doubted.discard(node)
-        elif upstreams.is_silent(state, node):
+        elif upstreams.is_unresponsive(state, node):
             doubted.discard(node)
-            calls.on_node_silent(state, node, out)
-    if state.waiting:
-        sending.place_waiting(state, out)
+            calls.on_node_unresponsive(state, node, out)
+    if state.waiting_calls:
+        sending.send_waiting(state, out)
 
 
 def _control(state: states.State, now: ids.Milliseconds, out: states.Effects) -> None:
-    hosting.shed_overdue(state, out)
+    hosting.drop_overdue(state, out)
     level_control.control(state, now, out)
     if presence.expire(state, now, out):
         _offer_nothing(state, out)
@@ -547,10 +547,10 @@
 def _check_slowly(
     state: states.State, now: ids.Milliseconds, out: states.Effects
 ) -> None:
-    claims.share_budget(state)
-    claims.check_waits(state, now, out)
-    revisions.check_waits(state, now, out)
-    revisions.keep_alive(state, now, out)
+    claims.update_append_interval(state)
+    claims.check_timeouts(state, now, out)
+    revisions.check_timeouts(state, now, out)
+    revisions.renew_snapshot(state, now, out)
     joining.contact_seeds(state, now, out)
     quarantine.check(state, now, out)
     _follow_claims(state, out)
@@ -558,8 +558,8 @@
 
 def _prune(state: states.State, now: ids.Milliseconds, out: states.Effects) -> None:
     for key in keys.prune(state, now):
-        out.append(effects.ForgetAnswer(key=key))
-    for children in state.children_of.values():
+        out.append(effects.DeleteStoredAnswer(key=key))
+    for children in state.child_kinds.values():
         old = [c for c, seen in children.items() if now - seen > CHILDREN_FORGOTTEN_MS]
         for child in old:
             del children[child]
@@ -582,7 +582,7 @@
     "probe": (membership.PROBE_MS, membership.probe),
     "membership": (membership.CHECK_MS, _check_members),
     "slow": (SLOW_CHECK_MS, _check_slowly),
-    "revive": (joining.REVIVE_MS, joining.revive),
+    "revive": (joining.REVIVE_MS, joining.probe_gone_member),
     "prune": (PRUNE_MS, _prune),
     "pollers": (pollers.CHECK_MS, pollers.check),
     "freshness": (freshness_renewal.CHECK_MS, freshness_renewal.check),
@@ -602,8 +602,8 @@
     events.AttemptRefused: calls.on_attempt_refused,
     events.AttemptLost: calls.on_attempt_lost,
     events.OpenReceived: hosting.on_open,
-    events.LevelAsked: hosting.on_level_asked,
-    events.LevelTold: calls.on_level_told,
+    events.LevelRequested: hosting.on_level_requested,
+    events.LevelReported: calls.on_level_reported,
     events.CancelReceived: hosting.on_cancel,
     events.BackendAnswered: _on_backend_answered,
     events.BackendFinished: hosting.on_backend_finished,
--- a/src/gingerturn/internal/core/refusals.py
+++ b/src/gingerturn/internal/core/refusals.py
@@ -2,11 +2,11 @@
 
 from gingerturn.internal.core import (
     cap_buckets,
-    come_back,
     decisions,
     effects,
     messages,
-    settling,
+    retry_delay,
+    startup_waits,
     state as states,
 )
 
@@ -84,7 +84,7 @@
             upstream=upstream,
             figures=figures,
             version=state.version,
-            waited_ms=state.now - call.arrived,
+            waited_ms=state.now - call.arrived_at,
             status=status,
             workspace=call.workspace,
         )
@@ -103,7 +103,7 @@
     figures: tuple[float, ...] = (),
 ) -> None:
     """Answer a call with a problem, at once, and forget it."""
-    certain = call.first and call.cleared
+    certain = call.never_ran and call.attempts_settled
     outcome = messages.Outcome.NOT_RUN if certain else messages.Outcome.UNKNOWN
     if call.holder and remote is not None:
         # The holder of a ticket alone may run it, so its word is the whole truth.
@@ -116,19 +116,19 @@
         status = 503
     if status == 429 and not not_run:
         status = 502
-    if not_run and call.drew:
+    if not_run and call.took_cap_token:
         # Another request of the workspace may have what this one did not use.
-        cap_buckets.give_back(state, call.workspace)
-    upstream = call.tried[-1] if call.tried else ""
+        cap_buckets.return_token(state, call.workspace)
+    upstream = call.tried_upstreams[-1] if call.tried_upstreams else ""
     own = decide(state, call, rule, out, figures, upstream=upstream, status=status)
     # Where a home node refused, its decision tells more than that it did.
     decision = (remote.decision if remote else "") or own
     wait = retry_after or (remote.retry_after_ms if remote else 0.0)
     soon = rule in _SHED_RULES or (
-        rule is decisions.Rule.NO_UPSTREAM and settling.is_settling(state)
+        rule is decisions.Rule.NO_UPSTREAM and startup_waits.is_starting_up(state)
     )
     if soon and call.rule.target_ms:
-        wait = come_back.after(state, call)
+        wait = retry_delay.for_call(state, call)
     if not wait and rule not in _NO_USE_COMING_BACK:
         wait = _COME_BACK_MS * (1.0 + state.random.random())
     out.append(
--- a/src/gingerturn/internal/core/replies.py
+++ b/src/gingerturn/internal/core/replies.py
@@ -40,22 +40,22 @@
     """
     backend = state.backend
     if rule is decisions.Rule.QUARANTINED:
-        figures = quarantine.figures_on(state, hosted.terms.fingerprint)
+        figures = quarantine.decision_figures(state, hosted.metadata.fingerprint)
     if figures is None:
         figures = (
             float(backend.running),
             backend.limit,
             float(len(backend.queue)),
-            state.now - hosted.arrived,
+            state.now - hosted.arrived_at,
         )
     decision = decide(state, hosted, rule, out, figures)
     if outcome is None:
         outcome = messages.Outcome.UNKNOWN if handed else messages.Outcome.NOT_RUN
-    report = admission.report(state, hosted.terms.kind)
+    report = admission.load_report(state, hosted.metadata.kind)
     level = max(report.level, report.tree_level)
-    retry_after_ms = admission.come_back_after(state, hosted.rank, level)
+    retry_after_ms = admission.retry_after_ms(state, hosted.rank, level)
     if rule is decisions.Rule.QUARANTINED:
-        retry_after_ms += quarantine.trial_due_in(state, hosted.terms.fingerprint)
+        retry_after_ms += quarantine.trial_due_in(state, hosted.metadata.fingerprint)
     out.append(
         effects.SendRefusal(
             hosted=hosted.id,
@@ -65,8 +65,8 @@
                 retry_after_ms=retry_after_ms,
                 decision=decision,
                 holder=holder,
-                arrived=arrived,
-                room=room,
+                reached_backend=arrived,
+                had_free_slots=room,
             ),
             tokens=hosted.tokens,
             report=report,
@@ -105,18 +105,18 @@
     state: states.State, hosted: states.Hosted, out: states.Effects, *, whole: bool
 ) -> None:
     """Send the backend server's answer, and keep a whole one for repeats of its key."""
-    keep = hosted.terms.key if whole else ""
+    keep = hosted.metadata.key if whole else ""
     if hosted.orphaned:
         if keep:
-            out.append(effects.KeepAnswer(hosted=hosted.id, key=keep))
+            out.append(effects.StoreAnswer(hosted=hosted.id, key=keep))
         return
     out.append(
         effects.SendAnswer(
             hosted=hosted.id,
             tokens=hosted.tokens,
-            report=admission.report(state, hosted.terms.kind),
+            report=admission.load_report(state, hosted.metadata.kind),
             decision=hosted.decision,
-            keep_as=keep,
+            store_key=keep,
             child_failed=hosted.child_failed,
         )
     )
@@ -133,8 +133,8 @@
     decision = state.decisions.record(
         rule,
         now=state.now,
-        root=hosted.terms.root,
-        kind=hosted.terms.kind,
+        root=hosted.metadata.root,
+        kind=hosted.metadata.kind,
         rank=hosted.rank,
         revision=state.revisions.revision,
         figures=figures,
@@ -142,14 +142,14 @@
     out.append(
         effects.LogDecision(
             part="home",
-            request=hosted.terms.trace,
+            request=hosted.metadata.trace,
             decision=decision,
             rule=int(rule),
-            kind=hosted.terms.kind,
+            kind=hosted.metadata.kind,
             upstream=hosted.sender,
             figures=figures,
             version=state.version,
-            waited_ms=state.now - hosted.arrived,
+            waited_ms=state.now - hosted.arrived_at,
         )
     )
     return decision
@@ -158,7 +158,7 @@
 def forget(state: states.State, hosted: states.Hosted) -> None:
     """Forget a call that was answered or refused."""
     state.hosted.pop(hosted.id, None)
-    state.spans.pop(hosted.span, None)
+    state.hosted_by_span.pop(hosted.span, None)
 
 
 def is_repeat(state: states.State, hosted: states.Hosted, out: states.Effects) -> bool:
@@ -166,7 +166,7 @@
 
     :return: ``False`` when the call is to go on to admission.
     """
-    entry = state.keys.get(hosted.terms.key)
+    entry = state.keys.get(hosted.metadata.key)
     if entry is None or entry.phase is states.KeyPhase.OURS_IDLE:
         return False
     if entry.phase is states.KeyPhase.FOREIGN:
@@ -191,27 +191,27 @@
     entry: states.KeyEntry,
     out: states.Effects,
 ) -> None:
-    if not entry.certain:
+    if not entry.outcome_known:
         refuse(state, hosted, decisions.Rule.OUTCOME_UNKNOWN, out, handed=True)
         return
-    if not entry.kept:
+    if not entry.answer_stored:
         outcome = messages.Outcome.ALREADY_RUN
         refuse(state, hosted, decisions.Rule.ALREADY_RUN, out, outcome=outcome)
         return
     decision = decide(state, hosted, decisions.Rule.ALREADY_RUN, out, ())
     out.append(
-        effects.SendKeptAnswer(
+        effects.SendStoredAnswer(
             hosted=hosted.id,
             key=entry.key,
             tokens=hosted.tokens,
-            report=admission.report(state, hosted.terms.kind),
+            report=admission.load_report(state, hosted.metadata.kind),
             decision=decision,
         )
     )
     forget(state, hosted)
 
 
-def end_key(
+def finish_key(
     state: states.State,
     hosted: states.Hosted,
     out: states.Effects,
@@ -220,7 +220,7 @@
     certain: bool,
 ) -> None:
     """Enter the last phase of a key and tell the repeats that waited."""
-    entry = state.keys[hosted.terms.key]
+    entry = state.keys[hosted.metadata.key]
     keys.mark_done(entry, kept=kept, certain=certain)
     waiters = list(entry.waiters)
     entry.waiters.clear()
@@ -238,10 +238,10 @@
     :param handed: the backend server may have run it.
     """
     if handed:
-        end_key(state, hosted, out, kept=False, certain=False)
+        finish_key(state, hosted, out, kept=False, certain=False)
         return
-    entry = state.keys[hosted.terms.key]
-    keys.mark_not_handed(entry)
+    entry = state.keys[hosted.metadata.key]
+    keys.mark_not_dispatched(entry)
     waiters = list(entry.waiters)
     entry.waiters.clear()
     for waiter in waiters:
--- a/src/gingerturn/internal/core/come_back.py
+++ b/src/gingerturn/internal/core/retry_delay.py
@@ -33,16 +33,18 @@
 """Of one answer in the mean time, over some twenty."""
 
 
-def note_answer(state: states.State, kind: str, elapsed: ids.Milliseconds) -> None:
+def record_answer_time(
+    state: states.State, kind: str, elapsed: ids.Milliseconds
+) -> None:
     """Take in how long a whole request took from its arrival to its answer."""
-    known = state.answer_ms.get(kind)
+    known = state.mean_answer_ms.get(kind)
     if known is None:
-        state.answer_ms[kind] = elapsed
+        state.mean_answer_ms[kind] = elapsed
     else:
-        state.answer_ms[kind] = known + TIME_WEIGHT * (elapsed - known)
+        state.mean_answer_ms[kind] = known + TIME_WEIGHT * (elapsed - known)
 
 
-def after(state: states.State, call: states.Call) -> ids.Milliseconds:
+def for_call(state: states.State, call: states.Call) -> ids.Milliseconds:
     """Return in how many ms a caller whose call is refused should come back."""
     latest = _latest(state, call)
     room = _room(state, call)
@@ -56,8 +58,8 @@
 
 def _latest(state: states.State, call: states.Call) -> ids.Milliseconds | None:
     """Return in how many ms it may come at the latest to be answered on target."""
-    usual = USUAL_MARGIN * state.answer_ms.get(call.rule.name, 0.0)
-    latest = call.arrived + call.rule.target_ms - usual - state.now
+    usual = USUAL_MARGIN * state.mean_answer_ms.get(call.rule.name, 0.0)
+    latest = call.arrived_at + call.rule.target_ms - usual - state.now
     return latest if latest > LEAST_MS else None
 
 
@@ -66,13 +68,13 @@
     is falling."""
     level = routing.service_level(state, call.service, call.rule.name)
     trend = state.trends.get(call.service)
-    if trend is None or state.now - trend.at > 2 * SAMPLE_MS:
-        state.trends[call.service] = states.Trend(at=state.now, level=level)
+    if trend is None or state.now - trend.updated_at > 2 * SAMPLE_MS:
+        state.trends[call.service] = states.Trend(updated_at=state.now, level=level)
         return None
-    elapsed = state.now - trend.at
+    elapsed = state.now - trend.updated_at
     if elapsed >= SAMPLE_MS:
         trend.slope = (level - trend.level) / elapsed
-        trend.at = state.now
+        trend.updated_at = state.now
         trend.level = level
     if trend.slope >= 0.0:
         return None
--- a/src/gingerturn/internal/core/revisions.py
+++ b/src/gingerturn/internal/core/revisions.py
@@ -18,7 +18,7 @@
     effects,
     events,
     messages,
-    outbox,
+    operator_log,
     state as states,
     streams,
 )
@@ -88,9 +88,9 @@
     """Take in where reading stands before the records themselves."""
     revisions = state.revisions
     if gap:
-        revisions.based = False
+        revisions.complete = False
     if oldest == 0 and first == 0:
-        revisions.based = True
+        revisions.complete = True
 
 
 def on_publish(
@@ -104,10 +104,10 @@
     :return: whether a new revision is in force.
     """
     revisions = state.revisions
-    if not revisions.based:
+    if not revisions.complete:
         revisions.undecided.append((offset, record))
         return False
-    if record.id in revisions.seen:
+    if record.id in revisions.decided_ids:
         return False
     _remember(revisions, record.id)
     if revisions.revision > offset and not _is_new(state, record):
@@ -146,7 +146,7 @@
         changed = _adopt(state, snapshot, out)
         if not changed:
             return False
-    revisions.based = True
+    revisions.complete = True
     undecided = list(revisions.undecided)
     revisions.undecided.clear()
     for offset, record in undecided:
@@ -170,14 +170,14 @@
     )
 
 
-def word(state: states.State) -> int:
+def config_digest(state: states.State) -> int:
     """Return what tells two sets of one revision apart, 0 where there can be no two."""
     if not state.log.was_restored:
         return 0
     return zlib.crc32(state.configuration.digest.encode())
 
 
-def hear(
+def on_peer_revision(
     state: states.State,
     node: ids.NodeId,
     revision: ids.Revision,
@@ -189,7 +189,7 @@
     :param digest: the peer's :func:`word`.
     """
     revisions = state.revisions
-    own = word(state)
+    own = config_digest(state)
     differs = revision == revisions.revision and own and digest and own != digest
     if revision <= revisions.revision and not differs:
         return
@@ -211,7 +211,7 @@
     )
 
 
-def check_waits(
+def check_timeouts(
     state: states.State, now: ids.Milliseconds, out: states.Effects
 ) -> None:
     """Tell authors whose publication the log does not confirm in time."""
@@ -226,14 +226,16 @@
             _end(out, publication.request, None, ids.Revision(0), problem)
 
 
-def keep_alive(state: states.State, now: ids.Milliseconds, out: states.Effects) -> None:
+def renew_snapshot(
+    state: states.State, now: ids.Milliseconds, out: states.Effects
+) -> None:
     """Append the accepted set anew before retention drops it.
 
     The member with the lowest id does it. Where views differ two may; the second
     record changes nothing.
     """
     revisions = state.revisions
-    if not revisions.based or revisions.revision == 0:
+    if not revisions.complete or revisions.revision == 0:
         return
     if now - revisions.snapshot_at < SNAPSHOT_EVERY_MS:
         return
@@ -273,7 +275,9 @@
     }
     documents.update(snapshot.documents)
     if configuration.digest_of(documents) != snapshot.digest:
-        outbox.warn(out, "config", f"Digest of revision {snapshot.revision} differs.")
+        operator_log.warn(
+            out, "config", f"Digest of revision {snapshot.revision} differs."
+        )
         revisions.fetch_whole = True
         return False
     revisions.fetch_whole = False
@@ -298,7 +302,9 @@
     revisions.fetch_whole = False
     own, told = revisions.documents, snapshot.documents
     if configuration.digest_of(told) != snapshot.digest:
-        outbox.warn(out, "config", f"Digest of revision {snapshot.revision} differs.")
+        operator_log.warn(
+            out, "config", f"Digest of revision {snapshot.revision} differs."
+        )
         return False
     documents, changed = dict(own), dict(revisions.changed)
     for team, text in told.items():
@@ -333,7 +339,7 @@
     state.membership.version += 1
     state.revisions.documents = documents
     state.revisions.revision = revision
-    outbox.info(out, "config", f"Revision {revision} is in force.")
+    operator_log.info(out, "config", f"Revision {revision} is in force.")
 
 
 def _problem(state: states.State, team: str, text: str) -> str:
@@ -449,6 +455,6 @@
 
 
 def _remember(revisions: states.Revisions, record_id: str) -> None:
-    revisions.seen[record_id] = True
-    if len(revisions.seen) > SEEN:
-        del revisions.seen[next(iter(revisions.seen))]
+    revisions.decided_ids[record_id] = True
+    if len(revisions.decided_ids) > SEEN:
+        del revisions.decided_ids[next(iter(revisions.decided_ids))]
--- a/src/gingerturn/internal/core/route_table.py
+++ b/src/gingerturn/internal/core/route_table.py
@@ -10,7 +10,7 @@
     decisions,
     effects,
     events,
-    outbox,
+    operator_log,
     slot_costs,
     state as states,
     workspaces,
@@ -44,14 +44,14 @@
     try:
         routes.check_table(table, origin=f"version {table.version}")
     except errors.InvalidDocument as error:
-        outbox.warn(out, _PART, f"Table refused: {error}.")
+        operator_log.warn(out, _PART, f"Table refused: {error}.")
         return False
     state.routes = routes.RouteIndex(table)
     names = {route.name for route in table.routes}
     by_kind: tuple[dict[str, typing.Any], ...] = (
-        state.turns,
+        state.split_credits,
         state.traffic,
-        state.answer_ms,
+        state.mean_answer_ms,
         *slot_costs.by_kind(state.costs),
     )
     for known in by_kind:
@@ -61,15 +61,15 @@
         if kind and kind not in names:
             del state.levels[(service, kind)]
     text = f"Version {table.version} is in force, {len(table.routes)} routes."
-    outbox.info(out, _PART, text)
+    operator_log.info(out, _PART, text)
     return True
 
 
-def hear(
+def on_peer_version(
     state: states.State, node: ids.NodeId, version: int, out: states.Effects
 ) -> None:
     """Fetch the table from a peer that has a later one."""
-    state.routes_heard = max(state.routes_heard, version)
+    state.highest_routes_version = max(state.highest_routes_version, version)
     present = 0 if state.routes is None else state.routes.version
     if version <= present or state.now - state.routes_fetched_at < FETCH_EVERY_MS:
         return
@@ -102,7 +102,7 @@
         workspace = found
         name = ids.WorkspaceName("" if found is None else found.name)
     elif index.needs_keys and not route.public:
-        name = parent.terms.workspace
+        name = parent.metadata.workspace
     rule = index.rule(route, _service(state, route), workspace)
     return Resolved(rule=rule, workspace=name)
 
@@ -115,7 +115,7 @@
     """
     if len(route.shares) == 1:
         return route.shares[0].service
-    turns = state.turns.setdefault(route.name, {})
+    turns = state.split_credits.setdefault(route.name, {})
     total = sum(share.weight for share in route.shares)
     for share in route.shares:
         if share.service not in turns:
--- a/src/gingerturn/internal/core/routing.py
+++ b/src/gingerturn/internal/core/routing.py
@@ -32,27 +32,27 @@
 zones four times in nine."""
 
 
-def hear(
+def on_load_report(
     state: states.State,
     node: ids.NodeId,
     kind: str,
     report: messages.LoadReport,
 ) -> None:
     """Take in the load report of an answer."""
-    state.refused.clear()
+    state.refused_ranks.clear()
     upstream = upstreams.upstream_of(state, node)
     if node in state.membership.suspected:
         # It may not count as silent any more.
         state.membership.version += 1
-    upstream.answered = state.now
-    upstream.own = states.HeardLevel(level=report.level, heard=state.now)
+    upstream.load_reported_at = state.now
+    upstream.own_level = states.ReportedLevel(level=report.level, reported_at=state.now)
     upstream.load = report.load
     upstream.limit = report.limit
-    upstream.since_report = 0
+    upstream.sent_since_report = 0
     member = state.membership.members.get(node)
     if member is not None and member.service:
-        levels.hear(state, member.service, node, kind, report)
-        upstream_costs.note_occupancy(state, member, report)
+        levels.record_report(state, member.service, node, kind, report)
+        upstream_costs.record_occupancy(state, member, report)
 
 
 def choose(
@@ -112,9 +112,9 @@
     """
     if state.routed and ranks.is_deep(rank):
         return True
-    known = levels.below(state, service, kind)
+    known = levels.child_level(state, service, kind)
     if not ranks.is_deep(rank):
-        levels.note_age(state, known)
+        levels.record_age(state, known)
     return ranks.deep_rank(rank) >= known.level
 
 
@@ -133,13 +133,13 @@
         # its home sheds it last if it must.
         return few
     rank = _own_rank(state, rank)
-    others = levels.own(state, service).level
+    others = levels.own_level(state, service).level
     fresh_from = state.now - levels.FRESH_MS
     taking = []
     for node in few:
         upstream = state.upstreams.get(node)
-        known = upstream is not None and upstream.own.heard >= fresh_from
-        level = upstream.own.level if upstream is not None and known else others
+        known = upstream is not None and upstream.own_level.reported_at >= fresh_from
+        level = upstream.own_level.level if upstream is not None and known else others
         if rank >= level:
             taking.append(node)
     return taking
@@ -156,7 +156,7 @@
     """Draw some of many upstreams, near ones first."""
     pool = upstreams.pool_of(state, service)
     if nodes is pool.nodes:
-        near = pool.near
+        near = pool.same_zone
     else:
         members = state.membership.members
         near = [node for node in nodes if members[node].zone == state.zone]
@@ -191,24 +191,24 @@
 def service_level(state: states.State, service: ids.ServiceName, kind: str) -> ids.Rank:
     """Return the rank from which a service is expected to take calls of a kind, the
     levels of the services below it included."""
-    return levels.of_service(state, service, kind).level
+    return levels.expected_level(state, service, kind).level
 
 
-def ask_levels(
+def request_levels(
     state: states.State, service: ids.ServiceName, kind: str, out: states.Effects
 ) -> None:
     """Ask some upstreams of a service whose level is in force but not fresh."""
-    held = levels.of_service(state, service, kind)
-    if held.level <= 0 or state.now - held.heard < ASK_AFTER_MS:
+    held = levels.expected_level(state, service, kind)
+    if held.level <= 0 or state.now - held.reported_at < ASK_AFTER_MS:
         return
-    known = levels.known_of(state, service, kind)
-    if state.now - known.asked < ASK_AFTER_MS:
+    known = levels.service_level_of(state, service, kind)
+    if state.now - known.requested_at < ASK_AFTER_MS:
         return
-    known.asked = state.now
+    known.requested_at = state.now
     for node in _some(state, upstreams.candidates(state, service), ASKED_AT_ONCE):
         member = state.membership.members[node]
         out.append(
-            effects.AskLevel(
+            effects.RequestLevel(
                 node=node,
                 host=member.host,
                 port=member.peers_port,
--- a/src/gingerturn/internal/core/knee.py
+++ b/src/gingerturn/internal/core/saturation.py
@@ -35,43 +35,48 @@
 before the comparison begins anew."""
 
 
-def note(state: states.State, hosted: states.Hosted, elapsed: ids.Milliseconds) -> None:
+def record_time(
+    state: states.State, hosted: states.Hosted, elapsed: ids.Milliseconds
+) -> None:
     """Take in the time of a call that called nobody else."""
-    kind = hosted.terms.kind
-    if state.children_of.get(kind):
+    kind = hosted.metadata.kind
+    if state.child_kinds.get(kind):
         return
-    knee = state.backend.knee
+    knee = state.backend.saturation
     if hosted.occupancy <= ROOMY:
-        _add(knee.roomy.setdefault(kind, states.Mean()), elapsed)
+        _add(knee.unsaturated.setdefault(kind, states.Mean()), elapsed)
         return
-    usual = knee.roomy.get(kind)
+    usual = knee.unsaturated.get(kind)
     if usual is None or usual.count < ENOUGH or usual.mean <= 0.0:
         return
     relative = elapsed / usual.mean
-    if knee.held_until and state.now >= knee.held_until:
+    if knee.limited_until and state.now >= knee.limited_until:
         # What was compared before the trial says nothing of today.
-        knee.full = states.Mean()
-        knee.held_until = 0.0
-    if state.now < knee.held_until:
+        knee.saturated = states.Mean()
+        knee.limited_until = 0.0
+    if state.now < knee.limited_until:
         _judge_trial(state, hosted, relative)
-    elif hosted.occupancy >= NEARLY_FULL and state.now >= knee.rests_until:
-        _add(knee.full, relative)
-        if knee.full.count >= ENOUGH and knee.full.mean > SLOWDOWN:
-            knee.held_until = state.now + HOLD_MS
-            knee.held = states.Mean()
+    elif hosted.occupancy >= NEARLY_FULL and state.now >= knee.next_trial_at:
+        _add(knee.saturated, relative)
+        if knee.saturated.count >= ENOUGH and knee.saturated.mean > SLOWDOWN:
+            knee.limited_until = state.now + HOLD_MS
+            knee.limited = states.Mean()
 
 
 def _judge_trial(state: states.State, hosted: states.Hosted, relative: float) -> None:
     """Use the last slots again if leaving them free makes no call faster."""
-    knee = state.backend.knee
+    knee = state.backend.saturation
     at_most = _held_slots(state.backend) / max(1, state.backend.slots)
-    if hosted.started < knee.held_until - HOLD_MS or hosted.occupancy < at_most:
+    if hosted.started_at < knee.limited_until - HOLD_MS or hosted.occupancy < at_most:
         return
-    _add(knee.held, relative)
-    if knee.held.count == ENOUGH and knee.full.mean < SLOWDOWN * knee.held.mean:
-        knee.held_until = state.now
-        knee.rests_until = state.now + HOLD_MS
-        knee.full = states.Mean()
+    _add(knee.limited, relative)
+    if (
+        knee.limited.count == ENOUGH
+        and knee.saturated.mean < SLOWDOWN * knee.limited.mean
+    ):
+        knee.limited_until = state.now
+        knee.next_trial_at = state.now + HOLD_MS
+        knee.saturated = states.Mean()
 
 
 def _add(mean: states.Mean, value: float) -> None:
@@ -82,7 +87,7 @@
 def usable_slots(state: states.State) -> int:
     """Return the slots that are worth using."""
     backend = state.backend
-    if state.now >= backend.knee.held_until:
+    if state.now >= backend.saturation.limited_until:
         return backend.slots
     return _held_slots(backend)
 
