--- a/src/gingerturn/internal/core/sending.py
+++ b/src/gingerturn/internal/core/sending.py
@@ -14,7 +14,7 @@
     rationing,
     refusals,
     routing,
-    settling,
+    startup_waits,
     state as states,
     upstreams,
 )
@@ -48,26 +48,26 @@
     if call.holder:
         _send_to_holder(state, call, out)
         return
-    if quarantine.word_on(state, call.fingerprint) is not None:
+    if quarantine.entry_of(state, call.fingerprint) is not None:
         _try_or_refuse(state, call, out)
         return
     nodes = upstreams.candidates(state, call.service)
     if not nodes:
-        if not settling.hold(state, call):
+        if not startup_waits.enqueue(state, call):
             refusals.refuse(state, call, decisions.Rule.NO_UPSTREAM, out)
         return
     refused = (call.service, call.rule.name, call.rank & ranks.DEEP_BIT)
     if state.now - state.refused_since > REFUSED_KEPT_MS:
-        state.refused.clear()
-    if not call.key and call.rank <= state.refused.get(refused, -1):
+        state.refused_ranks.clear()
+    if not call.key and call.rank <= state.refused_ranks.get(refused, -1):
         _refuse_by_level(state, call, out)
         return
     node = _pick(state, call, nodes)
     if node is None:
-        if not state.refused:
+        if not state.refused_ranks:
             state.refused_since = state.now
-        state.refused[refused] = call.rank
-        routing.ask_levels(state, call.service, call.rule.name, out)
+        state.refused_ranks[refused] = call.rank
+        routing.request_levels(state, call.service, call.rule.name, out)
         _refuse_by_level(state, call, out)
         return
     _send(state, call, node, out)
@@ -91,15 +91,15 @@
         decisions.Rule.QUARANTINED,
         out,
         retry_after=wait + COME_BACK_SPREAD_MS * (1.0 + state.random.random()),
-        figures=quarantine.figures_on(state, call.fingerprint),
+        figures=quarantine.decision_figures(state, call.fingerprint),
     )
 
 
-def place_waiting(state: states.State, out: states.Effects) -> None:
+def send_waiting(state: states.State, out: states.Effects) -> None:
     """Send the calls that waited for an upstream of their service, or give them up."""
     services = state.membership.by_service
     placeable = {ids.ServiceName(name) for name, nodes in services.items() if nodes}
-    ready, over = settling.take_due(state, placeable)
+    ready, over = startup_waits.take_due(state, placeable)
     for call in ready:
         send_first(state, call, out)
     for call in over:
@@ -113,7 +113,7 @@
 
 def can_go_elsewhere(state: states.State, call: states.Call) -> bool:
     """Tell whether a call that may have run can be sent to another upstream now."""
-    if not may_repeat(call) or quarantine.word_on(state, call.fingerprint):
+    if not may_repeat(call) or quarantine.entry_of(state, call.fingerprint):
         return False
     budget = _budget(state, call.service)
     if call.tokens < 1 or budget.held < 1.0 or call.rank < _retry_cut(state, budget):
@@ -126,7 +126,7 @@
     """Offer a call that was certainly not run to another upstream."""
     if call.redirects >= MAX_REDIRECTS or not call.replayable or call.holder:
         return False
-    if state.now >= call.deadline or quarantine.word_on(state, call.fingerprint):
+    if state.now >= call.deadline or quarantine.entry_of(state, call.fingerprint):
         return False
     node = routing.choose(state, _others(state, call), call.rule.name, call.rank)
     if node is None:
@@ -135,16 +135,20 @@
     return True
 
 
-def go_to_holder(
+def redirect_to_holder(
     state: states.State,
     call: states.Call,
     refusal: messages.Refusal,
     out: states.Effects,
 ) -> None:
     """Follow a key's claim to the node that holds it."""
-    call.first = False
+    call.never_ran = False
     member = _holding_member(state, refusal.holder)
-    known = member is not None and member.node not in call.tried and call.replayable
+    known = (
+        member is not None
+        and member.node not in call.tried_upstreams
+        and call.replayable
+    )
     if member is None or not known or call.redirects >= MAX_REDIRECTS:
         refusals.refuse(state, call, decisions.Rule.OUTCOME_UNKNOWN, out)
         return
@@ -171,8 +175,8 @@
     allowed = may_repeat(call) if ran else call.replayable and not call.holder
     if not allowed or state.now >= call.deadline:
         return False
-    if quarantine.word_on(state, call.fingerprint):
-        found = quarantine.figures_on(state, call.fingerprint)
+    if quarantine.entry_of(state, call.fingerprint):
+        found = quarantine.decision_figures(state, call.fingerprint)
         refusals.decide(state, call, decisions.Rule.QUARANTINED, out, found)
         return False
     back = room and call.attempts < MAX_TURNED_AWAY
@@ -183,7 +187,7 @@
     if node is None:
         refusals.decide(state, call, decisions.Rule.RETRY_NO_UPSTREAM, out, figures)
         return False
-    rationing.note(budget.wants, call.rank, state.now)
+    rationing.record_demand(budget.wants, call.rank, state.now)
     cut = _retry_cut(state, budget)
     if call.rank < cut:
         figures = (budget.held, float(cut), float(call.rank))
@@ -192,7 +196,7 @@
     if not allowance.spend(budget):
         refusals.decide(state, call, decisions.Rule.RETRY_NO_BUDGET, out, figures)
         return False
-    if node not in call.tried:
+    if node not in call.tried_upstreams:
         call.tokens -= 1
     call.repeat = True
     refusals.decide(state, call, decisions.Rule.RETRIED, out, figures)
@@ -210,7 +214,11 @@
         node = routing.choose(state, _others(state, call), kind, call.rank)
         if node is not None or not back:
             return node
-    nodes = [n for n in upstreams.candidates(state, call.service) if n in call.tried]
+    nodes = [
+        n
+        for n in upstreams.candidates(state, call.service)
+        if n in call.tried_upstreams
+    ]
     return routing.choose(state, nodes, kind, call.rank)
 
 
@@ -218,7 +226,7 @@
     """Return the rank from which calls may draw on a budget."""
     window_ms = _window_ms(state)
     supply = allowance.supply(budget, rationing.HORIZON_MS, window_ms)
-    return rationing.cut(budget.wants, supply, state.now)
+    return rationing.minimum_rank(budget.wants, supply, state.now)
 
 
 def _window_ms(state: states.State) -> float:
@@ -232,13 +240,13 @@
     share = state.configuration.service(call.service).retry_share
     most = allowance.MAX_BUDGET
     bound = state.retry_bound
-    allowance.count_first(budget, state.now, _window_ms(state))
+    allowance.record_first_attempt(budget, state.now, _window_ms(state))
     if bound is not None:
         share = min(share, allowance.EARNED_SHARE * bound.ratio)
         nodes = len(state.membership.members) - len(state.membership.gone)
         most = allowance.shared_cap(budget, bound, nodes=nodes)
     if call.repeat:
-        allowance.draw(budget)
+        allowance.charge_forced_repeat(budget)
     else:
         allowance.earn(budget, share, most=most)
 
@@ -283,16 +291,16 @@
     if call.key:
         # All sendings of one key meet at one node, where the second is told of
         # the first without the log. Safety does not rest on this.
-        return keys.preferred(call.key, nodes)
+        return keys.preferred_node(call.key, nodes)
     return routing.choose(state, nodes, call.rule.name, call.rank)
 
 
 def _refuse_by_level(
     state: states.State, call: states.Call, out: states.Effects
 ) -> None:
-    known = levels.of_service(state, call.service, call.rule.name)
-    retry_after = admission.come_back_after(state, call.rank, known.level)
-    figures = (float(known.level), state.now - known.heard, float(call.rank))
+    known = levels.expected_level(state, call.service, call.rule.name)
+    retry_after = admission.retry_after_ms(state, call.rank, known.level)
+    figures = (float(known.level), state.now - known.reported_at, float(call.rank))
     refusals.refuse(
         state, call, decisions.Rule.LEVEL, out, retry_after=retry_after, figures=figures
     )
@@ -300,7 +308,7 @@
 
 def _others(state: states.State, call: states.Call) -> list[ids.NodeId]:
     nodes = upstreams.candidates(state, call.service)
-    return [node for node in nodes if node not in call.tried]
+    return [node for node in nodes if node not in call.tried_upstreams]
 
 
 def _offer(
@@ -309,7 +317,7 @@
     """Send a call that was not run where it was to another node."""
     call.redirects += 1
     rule = decisions.Rule.REDIRECTED
-    refusals.decide(state, call, rule, out, upstream=call.tried[-1])
+    refusals.decide(state, call, rule, out, upstream=call.tried_upstreams[-1])
     _send(state, call, node, out)
 
 
@@ -318,18 +326,18 @@
 ) -> None:
     member = state.membership.members[node]
     attempt = ids.AttemptId(state.next_number())
-    tokens = allowance.part_for_attempt(call.tokens)
+    tokens = allowance.tokens_for_attempt(call.tokens)
     call.tokens -= tokens
     call.attempt = attempt
     call.attempts += 1
-    call.cleared = False
+    call.attempts_settled = False
     state.attempts[attempt] = states.Attempt(
-        id=attempt, call=call.id, node=node, tokens=tokens, sent=state.now
+        id=attempt, call=call.id, node=node, tokens=tokens, sent_at=state.now
     )
     upstream = upstreams.upstream_of(state, node)
     upstream.outstanding += 1
-    upstream.since_report += 1
-    terms = messages.CallTerms(
+    upstream.sent_since_report += 1
+    terms = messages.CallMetadata(
         service=call.service,
         kind=call.rule.name,
         importance=call.importance,
@@ -341,7 +349,7 @@
         repeatable=call.rule.repeatable,
         key=call.key,
         key_derived=call.key_derived,
-        first=call.first,
+        never_ran=call.never_ran,
         ticket=call.holder,
         repeat=call.repeat,
         fingerprint=call.fingerprint,
@@ -354,6 +362,6 @@
             node=node,
             host=member.host,
             port=member.peers_port,
-            terms=terms,
+            metadata=terms,
         )
     )
--- a/src/gingerturn/internal/core/slot_costs.py
+++ b/src/gingerturn/internal/core/slot_costs.py
@@ -36,10 +36,10 @@
 
 def by_kind(costs: states.Costs) -> tuple[dict[str, typing.Any], ...]:
     """Return what is kept by kind, so that kinds that are gone can be forgotten."""
-    return costs.told, costs.own, costs.fanouts, costs.roots
+    return costs.reported, costs.local, costs.fanouts, costs.root_importance
 
 
-def note_run(costs: states.Costs, kind: str) -> None:
+def record_run(costs: states.Costs, kind: str) -> None:
     """Count a run of a kind at the backend server here."""
     fanout = costs.fanouts.setdefault(kind, states.Fanout())
     fanout.runs += 1.0
@@ -49,7 +49,7 @@
     fanout.calls = {what: count / 2.0 for what, count in fanout.calls.items()}
 
 
-def note_call(
+def record_child_call(
     costs: states.Costs, kind: str, service: ids.ServiceName, called: ids.KindName
 ) -> None:
     """Count a call that a run of a kind makes."""
@@ -57,21 +57,23 @@
     calls[(service, called)] = calls.get((service, called), 0.0) + 1.0
 
 
-def hear(costs: states.Costs, kind: str, report: messages.LoadReport) -> None:
+def on_report(costs: states.Costs, kind: str, report: messages.LoadReport) -> None:
     """Take in what a home node tells of a kind."""
-    if not report.scarce:
+    if not report.bottleneck:
         return
-    known = costs.told.get(kind)
-    if known is None or known.service != report.scarce:
-        costs.told[kind] = states.TreeCost(report.scarce, report.slot_ms)
+    known = costs.reported.get(kind)
+    if known is None or known.service != report.bottleneck:
+        costs.reported[kind] = states.TreeCost(
+            report.bottleneck, report.bottleneck_slot_ms
+        )
         return
-    known.slot_ms += WEIGHT * (report.slot_ms - known.slot_ms)
+    known.slot_ms += WEIGHT * (report.bottleneck_slot_ms - known.slot_ms)
 
 
 def ordered(costs: states.Costs, kind: str, importance: int, root: int) -> ids.RootHash:
     """Return the hash of a root moved down as far as its kind is dearer than the
     cheapest of its importance that ends at the same scarce service."""
-    costs.roots[kind] = importance
+    costs.root_importance[kind] = importance
     exponent = _exponent(costs, kind, importance)
     if exponent <= 1.0:
         return ids.RootHash(root)
@@ -80,12 +82,12 @@
 
 
 def _exponent(costs: states.Costs, kind: str, importance: int) -> float:
-    own = costs.told.get(kind)
+    own = costs.reported.get(kind)
     if own is None or own.slot_ms <= 0.0:
         return 1.0
     least = own.slot_ms
-    for other, its_importance in costs.roots.items():
-        cost = costs.told.get(other)
+    for other, its_importance in costs.root_importance.items():
+        cost = costs.reported.get(other)
         if its_importance != importance or cost is None:
             continue
         if cost.service == own.service and 0.0 < cost.slot_ms < least:
@@ -96,11 +98,11 @@
 def report_of(state: states.State, kind: str) -> states.TreeCost:
     """Return what a request of a kind takes of the service that sheds most, here or
     below."""
-    known = state.costs.own.get(kind)
+    known = state.costs.local.get(kind)
     if known is not None and state.now - known[0] < RENEW_MS:
         return known[1]
     cost = _work_out(state, kind)
-    state.costs.own[kind] = (state.now, cost)
+    state.costs.local[kind] = (state.now, cost)
     return cost
 
 
@@ -114,7 +116,7 @@
     if fanout is None or not fanout.runs:
         return found
     for (service, called), count in fanout.calls.items():
-        below = state.costs.told.get(called)
+        below = state.costs.reported.get(called)
         if below is None:
             continue
         level = routing.service_level(state, service, called)
--- a/src/gingerturn/internal/core/settling.py
+++ b/src/gingerturn/internal/core/startup_waits.py
@@ -22,24 +22,24 @@
 is ready, measured in their logs. It is refused then, with the time to come back."""
 
 
-def is_settling(state: states.State) -> bool:
+def is_starting_up(state: states.State) -> bool:
     """Tell whether this node started so lately that it may not know all upstreams."""
-    return state.now < state.started + SETTLE_MS and not state.stopping
+    return state.now < state.started_at + SETTLE_MS and not state.stopping
 
 
-def hold(state: states.State, call: states.Call) -> bool:
+def enqueue(state: states.State, call: states.Call) -> bool:
     """Let a call wait for the first upstream of its service.
 
     :return: whether it waits; otherwise there is no use in it.
     """
-    if not is_settling(state):
+    if not is_starting_up(state):
         return False
     deep = call.depth > 0
     most = DEEP_HELD_MS if deep else ROOT_HELD_MS
-    until = call.arrived + most
+    until = call.arrived_at + most
     if until <= state.now:
         return False
-    state.waiting[call.id] = until
+    state.waiting_calls[call.id] = until
     return True
 
 
@@ -53,14 +53,14 @@
     """
     ready: list[states.Call] = []
     over: list[states.Call] = []
-    for number, until in list(state.waiting.items()):
+    for number, until in list(state.waiting_calls.items()):
         call = state.calls.get(number)
         if call is None:
-            del state.waiting[number]
+            del state.waiting_calls[number]
         elif call.service in placeable:
             ready.append(call)
-            del state.waiting[number]
+            del state.waiting_calls[number]
         elif state.now >= until:
             over.append(call)
-            del state.waiting[number]
+            del state.waiting_calls[number]
     return ready, over
--- a/src/gingerturn/internal/core/state.py
+++ b/src/gingerturn/internal/core/state.py
@@ -12,9 +12,9 @@
     allowance,
     decisions,
     effects,
+    gossip_queue,
     messages,
     ranks,
-    rumour_queue,
     tolerance,
 )
 
@@ -51,19 +51,19 @@
     key: str
     key_derived: bool
     replayable: bool
-    arrived: ids.Milliseconds
+    arrived_at: ids.Milliseconds
     repeat: bool = False
     parent: ids.HostedId | None = None
     attempt: ids.AttemptId | None = None
     attempts: int = 0
     redirects: int = 0
-    first: bool = True
-    cleared: bool = True
+    never_ran: bool = True
+    attempts_settled: bool = True
     holder: str = ""
     fingerprint: ids.Fingerprint = ids.Fingerprint(0)
     workspace: ids.WorkspaceName = ids.WorkspaceName("")
-    drew: bool = False
-    tried: list[ids.NodeId] = []
+    took_cap_token: bool = False
+    tried_upstreams: list[ids.NodeId] = []
 
 
 class Attempt(msgspec.Struct):
@@ -73,7 +73,7 @@
     call: ids.CallId
     node: ids.NodeId
     tokens: int
-    sent: ids.Milliseconds = 0.0
+    sent_at: ids.Milliseconds = 0.0
 
 
 class HostedState(enum.Enum):
@@ -102,14 +102,14 @@
 
     id: ids.HostedId
     sender: ids.NodeId
-    terms: messages.CallTerms
+    metadata: messages.CallMetadata
     rank: ids.Rank
     deadline: ids.Milliseconds
     tokens: int
-    arrived: ids.Milliseconds
+    arrived_at: ids.Milliseconds
     state: HostedState = HostedState.QUEUED
     span: ids.SpanId = ids.SpanId("")
-    started: ids.Milliseconds = 0.0
+    started_at: ids.Milliseconds = 0.0
     occupancy: float = 0.0
     orphaned: bool = False
     child_failed: bool = False
@@ -125,7 +125,7 @@
     """
 
     ranks: list[int] = []
-    handed: int = 0
+    dispatched: int = 0
     shed: int = 0
     busy_ms: float = 0.0
     least_queue: int = 0
@@ -136,7 +136,7 @@
     """Observed time of one kind at the backend server."""
 
     mean_ms: float
-    measured: ids.Milliseconds
+    measured_at: ids.Milliseconds
 
 
 class Mean(msgspec.Struct):
@@ -146,7 +146,7 @@
     count: int = 0
 
 
-class Knee(msgspec.Struct):
+class Saturation(msgspec.Struct):
     """Times of calls by how full the backend server was when they were begun.
 
     :param roomy: by kind, in ms, begun while there was room.
@@ -156,21 +156,21 @@
     :param rests_until: they are not tried again before that.
     """
 
-    roomy: dict[str, Mean] = {}
-    full: Mean = msgspec.field(default_factory=Mean)
-    held: Mean = msgspec.field(default_factory=Mean)
-    held_until: ids.Milliseconds = 0.0
-    rests_until: ids.Milliseconds = 0.0
+    unsaturated: dict[str, Mean] = {}
+    saturated: Mean = msgspec.field(default_factory=Mean)
+    limited: Mean = msgspec.field(default_factory=Mean)
+    limited_until: ids.Milliseconds = 0.0
+    next_trial_at: ids.Milliseconds = 0.0
 
 
 class BrokenCall(msgspec.Struct, frozen=True):
     """A call whose connection to the backend server broke before its answer."""
 
     fingerprint: ids.Fingerprint
-    at: ids.Milliseconds
+    broken_at: ids.Milliseconds
 
 
-class Heard(msgspec.Struct, frozen=True):
+class InstanceAnnouncement(msgspec.Struct, frozen=True):
     """The latest announcement of an instance.
 
     :param started_ms: when it had started; 0 where it tells none.
@@ -202,7 +202,7 @@
     host: str = ""
     port: int = 0
     slots: int = 0
-    expires: ids.Milliseconds = 0.0
+    expires_at: ids.Milliseconds = 0.0
     present: bool = False
     leaving: bool = False
     limit: float = 1.0
@@ -212,32 +212,32 @@
     level: ids.Rank = ranks.LOWEST
     windows: list[Window] = msgspec.field(default_factory=lambda: [Window()])
     running_since: ids.Milliseconds = 0.0
-    last_cut: ids.Milliseconds = 0.0
+    last_cut_at: ids.Milliseconds = 0.0
     instance: str = ""
     sequence: int = 0
     started_ms: int = 0
-    left: dict[str, int] = {}
-    replaced: dict[str, Heard] = {}
+    departed_instances: dict[str, int] = {}
+    replaced_instances: dict[str, InstanceAnnouncement] = {}
     times: dict[str, ServiceTime] = {}
-    knee: Knee = msgspec.field(default_factory=Knee)
+    saturation: Saturation = msgspec.field(default_factory=Saturation)
     unreachable_until: ids.Milliseconds = 0.0
-    checking: bool = False
-    broken: list[BrokenCall] = []
-    answered: ids.Milliseconds = 0.0
-    ends: int = 0
+    check_pending: bool = False
+    broken_calls: list[BrokenCall] = []
+    answered_at: ids.Milliseconds = 0.0
+    crash_count: int = 0
 
 
-class HeardLevel(msgspec.Struct, frozen=True, gc=False):
+class ReportedLevel(msgspec.Struct, frozen=True, gc=False):
     """A level that an answer told, and when."""
 
     level: ids.Rank
-    heard: ids.Milliseconds
+    reported_at: ids.Milliseconds
 
 
-AGE_PLACES = 7
+LEVEL_AGE_BUCKETS = 7
 """Five bounded ages, older ones, and no word at all."""
 
-UNHEARD = HeardLevel(level=ranks.LOWEST, heard=0.0)
+NO_REPORTED_LEVEL = ReportedLevel(level=ranks.LOWEST, reported_at=0.0)
 """Nothing was ever told."""
 
 
@@ -251,11 +251,11 @@
     :param asked: when some upstreams were last asked for it.
     """
 
-    told: dict[str, HeardLevel]
-    ranked: list[int]
+    by_upstream: dict[str, ReportedLevel]
+    sorted_levels: list[int]
     level: ids.Rank = ranks.LOWEST
-    heard: ids.Milliseconds = 0.0
-    asked: ids.Milliseconds = 0.0
+    reported_at: ids.Milliseconds = 0.0
+    requested_at: ids.Milliseconds = 0.0
 
 
 class Trend(msgspec.Struct):
@@ -264,7 +264,7 @@
     :param at: when ``level`` was seen; ``slope`` is per ms, up to then.
     """
 
-    at: ids.Milliseconds
+    updated_at: ids.Milliseconds
     level: ids.Rank
     slope: float = 0.0
 
@@ -291,10 +291,10 @@
     :param roots: importance of the kinds of whole requests that come here.
     """
 
-    told: dict[str, TreeCost] = {}
-    own: dict[str, tuple[ids.Milliseconds, TreeCost]] = {}
+    reported: dict[str, TreeCost] = {}
+    local: dict[str, tuple[ids.Milliseconds, TreeCost]] = {}
     fanouts: dict[str, Fanout] = {}
-    roots: dict[str, int] = {}
+    root_importance: dict[str, int] = {}
 
 
 class KindTraffic(msgspec.Struct):
@@ -321,16 +321,16 @@
     """
 
     node: ids.NodeId
-    own: HeardLevel
+    own_level: ReportedLevel
     load: int = 0
     limit: int = 0
     outstanding: int = 0
-    since_report: int = 0
-    answered: ids.Milliseconds = 0.0
-    failures: int = 0
-    error: float = 0.0
+    sent_since_report: int = 0
+    load_reported_at: ids.Milliseconds = 0.0
+    consecutive_failures: int = 0
+    error_rate: float = 0.0
     slowness: float = 1.0
-    timed: ids.Milliseconds = 0.0
+    slowness_measured_at: ids.Milliseconds = 0.0
     ejections: int = 0
     ejected_until: ids.Milliseconds = 0.0
 
@@ -339,7 +339,7 @@
     """Mean part of their limit that upstreams said was taken."""
 
     mean: float
-    heard: ids.Milliseconds
+    reported_at: ids.Milliseconds
 
 
 class Pool(msgspec.Struct):
@@ -351,9 +351,9 @@
     """
 
     nodes: list[ids.NodeId]
-    near: list[ids.NodeId]
+    same_zone: list[ids.NodeId]
     version: int
-    until: ids.Milliseconds
+    valid_until: ids.Milliseconds
 
 
 class Probe(msgspec.Struct):
@@ -365,8 +365,8 @@
     """
 
     node: ids.NodeId
-    sent: ids.Milliseconds
-    asked: ids.Milliseconds
+    timeout_base: ids.Milliseconds
+    sent_at: ids.Milliseconds
     indirect: bool = False
     for_host: str = ""
     for_port: int = 0
@@ -387,8 +387,8 @@
     first: ids.NodeId
     zone: list[ids.NodeId]
     index: int
-    owners: int
-    keepers: list[ids.NodeId]
+    cap_sharers: int
+    cap_allocators: list[ids.NodeId]
     version: int
 
 
@@ -408,13 +408,13 @@
     """
 
     revoke_ms: ids.Milliseconds = 0.0
-    proven: ids.Milliseconds = 0.0
-    asked: ids.Milliseconds = 0.0
-    questions: int = 0
-    closed: bool = False
-    reading: bool = False
-    read_again: ids.Milliseconds = 0.0
-    shown: int = 0
+    verified_at: ids.Milliseconds = 0.0
+    queried_at: ids.Milliseconds = 0.0
+    query_count: int = 0
+    closed_logged: bool = False
+    extra_read_pending: bool = False
+    next_read_at: ids.Milliseconds = 0.0
+    highest_log_version: int = 0
 
 
 class Bucket(msgspec.Struct):
@@ -432,24 +432,24 @@
     :param promised: when the token comes in that the last refused caller was told of.
     """
 
-    filled: ids.Milliseconds
+    refilled_at: ids.Milliseconds
     counted_from: ids.Milliseconds
     tokens: float = 0.0
     rate_milli: int = 0
     lease_until: ids.Milliseconds = 0.0
     short: bool = False
-    told: ids.Milliseconds = 0.0
-    spilled: float = 0.0
+    short_reported_at: ids.Milliseconds = 0.0
+    overflowed: float = 0.0
     demand: float = 0.0
-    count: int = 0
-    drawn: ids.Milliseconds = 0.0
-    promised: ids.Milliseconds = 0.0
+    request_count: int = 0
+    last_request_at: ids.Milliseconds = 0.0
+    promised_token_at: ids.Milliseconds = 0.0
 
 
-class WorkspaceUse(msgspec.Struct):
+class WorkspaceUsage(msgspec.Struct):
     """Whole requests of a workspace at this node, since its start."""
 
-    passed: int = 0
+    admitted: int = 0
     refused: int = 0
 
 
@@ -472,19 +472,19 @@
     """
 
     buckets: dict[str, Bucket] = {}
-    keeper: ids.NodeId = ids.NodeId("")
+    allocator: ids.NodeId = ids.NodeId("")
     stamp: ids.Milliseconds = 0.0
-    number: int = 0
-    open: dict[int, ids.Milliseconds] = {}
-    asked: ids.Milliseconds = 0.0
-    renewed: ids.Milliseconds = 0.0
-    silent_since: ids.Milliseconds = 0.0
+    request_number: int = 0
+    pending_requests: dict[int, ids.Milliseconds] = {}
+    requested_at: ids.Milliseconds = 0.0
+    renewed_at: ids.Milliseconds = 0.0
+    unanswered_since: ids.Milliseconds = 0.0
     handed_over: bool = False
-    lent_to: ids.NodeId = ids.NodeId("")
-    lent_until: ids.Milliseconds = 0.0
-    passed_over: dict[ids.NodeId, ids.Milliseconds] = {}
-    held: dict[ids.CallId, ids.Milliseconds] = {}
-    use: dict[str, WorkspaceUse] = {}
+    delegated_to: ids.NodeId = ids.NodeId("")
+    delegated_until: ids.Milliseconds = 0.0
+    skipped_nodes: dict[ids.NodeId, ids.Milliseconds] = {}
+    waiting_calls: dict[ids.CallId, ids.Milliseconds] = {}
+    usage: dict[str, WorkspaceUsage] = {}
 
 
 class CapGrant(msgspec.Struct, frozen=True):
@@ -498,7 +498,7 @@
     demand: float
     rate_milli: int
     depth: float
-    until: ids.Milliseconds
+    expires_at: ids.Milliseconds
 
 
 class CapWindow(msgspec.Struct):
@@ -511,7 +511,7 @@
     slices: dict[int, float] = {}
 
 
-class CapKeeper(msgspec.Struct):
+class CapAllocator(msgspec.Struct):
     """What this node leases as the keeper of caps; see :mod:`.cap_keeper`.
 
     :param loans: nodes that lent it their parts, and until when.
@@ -521,11 +521,11 @@
     :param shares: share that was lent to it, by slice of time.
     """
 
-    loans: dict[ids.NodeId, ids.Milliseconds] = {}
+    delegations: dict[ids.NodeId, ids.Milliseconds] = {}
     grants: dict[str, dict[ids.NodeId, CapGrant]] = {}
     windows: dict[str, CapWindow] = {}
-    share: float = 0.0
-    shares: dict[int, float] = {}
+    delegated_share: float = 0.0
+    delegated_shares: dict[int, float] = {}
 
 
 class Membership(msgspec.Struct):
@@ -545,26 +545,28 @@
     :param ordered: what follows from all this, until it changes.
     """
 
-    me: messages.Member | None = None
+    self_member: messages.Member | None = None
     members: dict[str, messages.Member] = {}
     by_service: dict[str, list[ids.NodeId]] = {}
     version: int = 0
-    rumours: rumour_queue.Rumours = msgspec.field(default_factory=rumour_queue.Rumours)
+    pending_updates: gossip_queue.GossipQueue = msgspec.field(
+        default_factory=gossip_queue.GossipQueue
+    )
     probes: dict[int, Probe] = {}
     suspected: dict[str, ids.Milliseconds] = {}
     doubted: set[ids.NodeId] = set()
     gone: dict[str, ids.Milliseconds] = {}
-    order: list[str] = []
+    probe_order: list[str] = []
     sequence: int = 0
     next_push: ids.Milliseconds = 0.0
-    push_waits: bool = False
-    unmet: dict[str, tuple[messages.JoinRecord, int]] = {}
-    join_put: int = 0
+    push_pending: bool = False
+    uncontacted: dict[str, tuple[messages.JoinRecord, int]] = {}
+    join_put_number: int = 0
     join_retry_at: ids.Milliseconds = 0.0
-    listed: bool = False
-    heard: ids.Milliseconds = 0.0
-    left: dict[ids.NodeId, ids.Incarnation] = {}
-    ordered: MemberOrder | None = None
+    members_listed: bool = False
+    last_datagram_at: ids.Milliseconds = 0.0
+    departed: dict[ids.NodeId, ids.Incarnation] = {}
+    order_cache: MemberOrder | None = None
 
 
 class LogHistory(msgspec.Struct):
@@ -581,8 +583,8 @@
 
     epoch: ids.LogEpoch = ids.LogEpoch(0)
     highest: ids.LogEpoch = ids.LogEpoch(0)
-    lower: int = 0
-    saw_none: bool = False
+    lower_epoch_answers: int = 0
+    read_without_epoch: bool = False
     restores: int = 0
 
     @property
@@ -612,19 +614,19 @@
 
     name: str
     keyed: bool = False
-    based: bool = False
+    base_read: bool = False
     followed: bool = True
     outdated: bool = False
-    hold_ms: int = 0
+    long_poll_ms: int = 0
     offset: int = 0
-    reading: bool = False
+    read_pending: bool = False
     failures: int = 0
     retry_at: ids.Milliseconds = 0.0
-    fresh: ids.Milliseconds = -1.0
+    current_as_of: ids.Milliseconds = -1.0
     caught_up: bool = False
     covered_from: ids.Milliseconds = 0.0
     generation: int = 0
-    missing: int = 0
+    consecutive_missing: int = 0
     missing_total: int = 0
 
 
@@ -657,38 +659,38 @@
     holder: str = ""
     hosted: ids.HostedId | None = None
     waiters: list[ids.HostedId] = []
-    kept: bool = False
-    certain: bool = True
+    answer_stored: bool = False
+    outcome_known: bool = True
 
 
-class KnownEnd(msgspec.Struct, frozen=True):
+class KnownCrash(msgspec.Struct, frozen=True):
     """A backend server that ended by itself, and when."""
 
-    end: messages.BackendEnd
-    at: ids.Milliseconds
+    crash: messages.BackendCrash
+    crashed_at: ids.Milliseconds
 
     @property
     def requests(self) -> tuple[int, ...]:
         """Fingerprints of what was under way there."""
-        return self.end.requests
+        return self.crash.requests
 
 
-class Word(msgspec.Struct, frozen=True):
+class QuarantineEntry(msgspec.Struct, frozen=True):
     """Why a request is kept out.
 
     :param ends: backend servers that ended under it.
     :param at: when the latest of them did.
     """
 
-    ends: int
-    at: ids.Milliseconds
+    crash_count: int
+    last_crash_at: ids.Milliseconds
 
 
 class Trial(msgspec.Struct, frozen=True):
     """The one call of a request that is kept out which ran all the same, and when."""
 
     hosted: ids.HostedId
-    at: ids.Milliseconds
+    started_at: ids.Milliseconds
 
 
 class Quarantine(msgspec.Struct):
@@ -707,22 +709,22 @@
     :param saved: those whose record it took from this node.
     """
 
-    ends: dict[str, KnownEnd] = {}
-    told: dict[int, Word] = {}
-    cleared: dict[int, ids.Milliseconds] = {}
-    kept_out: dict[int, Word] = {}
+    crashes: dict[str, KnownCrash] = {}
+    reported: dict[int, QuarantineEntry] = {}
+    cleared_at: dict[int, ids.Milliseconds] = {}
+    quarantined: dict[int, QuarantineEntry] = {}
     suspects: set[int] = set()
     digest: int = 0
-    ends_to_tell: rumour_queue.Rumours = msgspec.field(
-        default_factory=rumour_queue.Rumours
+    crashes_to_gossip: gossip_queue.GossipQueue = msgspec.field(
+        default_factory=gossip_queue.GossipQueue
     )
-    words_to_tell: rumour_queue.Rumours = msgspec.field(
-        default_factory=rumour_queue.Rumours
+    updates_to_gossip: gossip_queue.GossipQueue = msgspec.field(
+        default_factory=gossip_queue.GossipQueue
     )
-    tell_again_at: ids.Milliseconds = 0.0
-    runs: dict[int, None] = {}
+    next_gossip_at: ids.Milliseconds = 0.0
+    recent_runs: dict[int, None] = {}
     trials: dict[int, Trial] = {}
-    saving: dict[int, int] = {}
+    pending_saves: dict[int, int] = {}
     unsaved: set[int] = set()
     saved: set[int] = set()
 
@@ -754,11 +756,11 @@
     revision: ids.Revision = ids.Revision(0)
     documents: dict[str, str] = {}
     changed: dict[str, int] = {}
-    seen: dict[str, bool] = {}
+    decided_ids: dict[str, bool] = {}
     pending: dict[str, Publication] = {}
     appends: dict[int, str] = {}
     history: list[messages.AuditRecord] = []
-    based: bool = False
+    complete: bool = False
     undecided: list[tuple[int, messages.PublishRecord]] = []
     snapshot_at: ids.Milliseconds = 0.0
     fetched_at: ids.Milliseconds = 0.0
@@ -783,36 +785,36 @@
         self.calls: dict[ids.CallId, Call] = {}
         self.attempts: dict[ids.AttemptId, Attempt] = {}
         self.hosted: dict[ids.HostedId, Hosted] = {}
-        self.spans: dict[ids.SpanId, ids.HostedId] = {}
+        self.hosted_by_span: dict[ids.SpanId, ids.HostedId] = {}
         self.backend = Backend()
         self.upstreams: dict[ids.NodeId, Upstream] = {}
         # Told levels by service and kind; with no kind, the service's own.
         self.levels: dict[tuple[str, str], ServiceLevel] = {}
         # Whole requests by the age of the word that decided on them.
-        self.level_ages = [0] * AGE_PLACES
+        self.level_age_counts = [0] * LEVEL_AGE_BUCKETS
         # The latest word on a service that nodes passed on which call it.
-        self.relayed: dict[ids.ServiceName, HeardLevel] = {}
+        self.relayed_levels: dict[ids.ServiceName, ReportedLevel] = {}
         # Mean occupancy that upstreams told, by service and whether of the own zone.
         self.occupancies: dict[tuple[ids.ServiceName, bool], Occupancy] = {}
         self.pools: dict[ids.ServiceName, Pool] = {}
         # The highest rank that no upstream took a moment ago, by service, kind and
         # depth: what ranks lower need not be tried upstream by upstream.
-        self.refused: dict[tuple[str, str, int], int] = {}
+        self.refused_ranks: dict[tuple[str, str, int], int] = {}
         self.refused_since: ids.Milliseconds = 0.0
         self.budgets: dict[ids.ServiceName, allowance.Budget] = {}
         self.costs = Costs()
         self.traffic: dict[str, KindTraffic] = {}
         # Mean size of all calls that this node sends.
-        self.mean_size = 0.0
+        self.mean_call_size = 0.0
         # Mean time of answered whole requests, by kind.
-        self.answer_ms: dict[str, ids.Milliseconds] = {}
+        self.mean_answer_ms: dict[str, ids.Milliseconds] = {}
         self.trends: dict[ids.ServiceName, Trend] = {}
-        self.children_of: dict[str, dict[tuple[str, str], ids.Milliseconds]] = {}
+        self.child_kinds: dict[str, dict[tuple[str, str], ids.Milliseconds]] = {}
         # Calls that wait for the first upstream of their service, and until when.
-        self.waiting: dict[ids.CallId, ids.Milliseconds] = {}
-        self.started: ids.Milliseconds = 0.0
+        self.waiting_calls: dict[ids.CallId, ids.Milliseconds] = {}
+        self.started_at: ids.Milliseconds = 0.0
         # When the timer service last ran.
-        self.ticked: ids.Milliseconds = 0.0
+        self.last_tick_at: ids.Milliseconds = 0.0
         self.deadlines: list[tuple[ids.Milliseconds, int, int]] = []
         self.membership = Membership()
         self.streams: dict[str, Stream] = {}
@@ -832,13 +834,13 @@
         self.routes: routes.RouteIndex | None = None
         self.routes_fetched_at: ids.Milliseconds = 0.0
         # The latest version that a member told of.
-        self.routes_heard = 0
+        self.highest_routes_version = 0
         self.freshness = Freshness()
         self.caps = Caps()
-        self.cap_keeper = CapKeeper()
-        self.cap_tolerance = tolerance.USUAL
+        self.cap_allocator = CapAllocator()
+        self.cap_tolerance = tolerance.DEFAULT
         # Credit of each service of a split route, for the weighted turn.
-        self.turns: dict[str, dict[str, float]] = {}
+        self.split_credits: dict[str, dict[str, float]] = {}
         self.decisions = decisions.DecisionLog(node=node, size=decision_count)
         self.timers: list[Timer] = []
         self.timer_phase: ids.Milliseconds = 0.0
@@ -896,16 +898,16 @@
         "random",
         "configuration",
         "decisions",
-        "children_of",
+        "child_kinds",
         "costs",
-        "refused",
+        "refused_ranks",
         "routes",
     }
 )
 
 
 def _dumped(value: object) -> object:
-    return rumour_queue.encoded(value)
+    return gossip_queue.encoded(value)
 
 
 Effects = list[effects.Effect]
--- a/src/gingerturn/internal/core/streams.py
+++ b/src/gingerturn/internal/core/streams.py
@@ -7,7 +7,7 @@
     effects,
     events,
     messages,
-    outbox,
+    operator_log,
     state as states,
 )
 
@@ -46,7 +46,7 @@
         return
     stream = states.Stream(name=name, keyed=keyed, followed=followed)
     state.streams[name] = stream
-    cover_from_now(state)
+    reset_coverage(state)
     _read(stream, out)
 
 
@@ -68,38 +68,38 @@
     _note_regained(stream, out)
     gap = stream.caught_up and first > stream.offset
     if not extra:
-        stream.reading = False
+        stream.read_pending = False
         stream.failures = 0
     stream.offset = max(stream.offset, first + count)
-    stream.fresh = state.now
+    stream.current_as_of = state.now
     if stream.offset >= end:
         stream.caught_up = True
     if gap:
         stream.covered_from = state.now
         # Of a keyed stream nothing was missed that its newest records do not tell.
-        stream.based = False
+        stream.base_read = False
     if not extra:
         stream.retry_at = state.now + _pause(state, stream)
     return gap
 
 
-def base(
+def on_base_read(
     state: states.State, stream: states.Stream, *, end: int, out: states.Effects
 ) -> None:
     """Take in that the newest records of a keyed stream were read."""
     _note_regained(stream, out)
-    stream.reading = False
+    stream.read_pending = False
     stream.failures = 0
-    stream.based = not stream.outdated
+    stream.base_read = not stream.outdated
     stream.outdated = False
     stream.caught_up = True
     stream.offset = end
-    stream.fresh = state.now
+    stream.current_as_of = state.now
     if stream.followed:
         _read(stream, out)
 
 
-def cover_from_now(state: states.State) -> None:
+def reset_coverage(state: states.State) -> None:
     """Count the streams that were not read yet as covered from now on only: a log that
     was restored from a backup may lack records that were appended before."""
     if not state.log.was_restored:
@@ -112,13 +112,13 @@
 def restart(state: states.State, stream: states.Stream) -> None:
     """Read a stream anew: no offset that was known of it holds any more."""
     stream.generation += 1
-    stream.reading = False
+    stream.read_pending = False
     stream.outdated = False
     stream.caught_up = False
     stream.offset = 0
     stream.retry_at = state.now
     # One that is not followed is read again when it is.
-    stream.based = stream.based and not stream.followed
+    stream.base_read = stream.base_read and not stream.followed
     stream.covered_from = state.now
 
 
@@ -129,31 +129,35 @@
     """
     if stream.keyed:
         # The newest records tell all that was missed.
-        stream.based = False
+        stream.base_read = False
     elif stream.caught_up:
         stream.covered_from = state.now
     stream.offset = first
-    stream.reading = False
+    stream.read_pending = False
     # A log that contradicts itself is not asked without pause.
-    pause = 0.0 if stream.missing == 1 else _backoff(state, stream, stream.missing)
+    pause = (
+        0.0
+        if stream.consecutive_missing == 1
+        else _backoff(state, stream, stream.consecutive_missing)
+    )
     stream.retry_at = state.now + pause
 
 
-def note_missing(
+def record_missing(
     stream: states.Stream, event: events.LogRead, out: states.Effects
 ) -> None:
     """Count reads whose offset the log does not hold, and write the first in a row."""
     if not event.missing:
-        stream.missing = 0
+        stream.consecutive_missing = 0
         return
-    stream.missing += 1
+    stream.consecutive_missing += 1
     stream.missing_total += 1
-    if stream.missing == 1:
+    if stream.consecutive_missing == 1:
         text = (
             f"Stream {stream.name} has no offset {stream.offset};"
             f" the first one that the log holds is {event.first}."
         )
-        outbox.warn(out, "log", text)
+        operator_log.warn(out, "log", text)
 
 
 def audit(
@@ -172,7 +176,7 @@
 def _note_regained(stream: states.Stream, out: states.Effects) -> None:
     if stream.failures:
         text = f"Stream {stream.name} can be read again, after {stream.failures} tries."
-        outbox.info(out, "log", text)
+        operator_log.info(out, "log", text)
 
 
 def reread(state: states.State, name: str, *, anew: bool = False) -> None:
@@ -182,19 +186,21 @@
     """
     stream = state.streams.get(name)
     if stream is not None:
-        stream.based = False
-        stream.outdated |= anew and stream.reading
+        stream.base_read = False
+        stream.outdated |= anew and stream.read_pending
         stream.retry_at = max(stream.retry_at, state.now)
 
 
-def failed(state: states.State, stream: states.Stream, out: states.Effects) -> None:
+def on_read_failed(
+    state: states.State, stream: states.Stream, out: states.Effects
+) -> None:
     """Take in a failed read; back off with jitter so that the log's return is not
     met by all nodes at once."""
-    stream.reading = False
+    stream.read_pending = False
     stream.outdated = False
     stream.failures += 1
     if stream.failures == 1:
-        outbox.warn(out, "log", f"Stream {stream.name} cannot be read.")
+        operator_log.warn(out, "log", f"Stream {stream.name} cannot be read.")
     stream.retry_at = state.now + _backoff(state, stream, stream.failures)
 
 
@@ -206,14 +212,14 @@
     return longest * (0.5 + 0.5 * state.random.random())
 
 
-def resume(state: states.State, out: states.Effects) -> None:
+def retry_due(state: states.State, out: states.Effects) -> None:
     """Read each stream again whose pause is over."""
     for stream in state.streams.values():
         if _rests(stream) and state.now >= stream.retry_at:
             _read(stream, out)
 
 
-def next_read(state: states.State) -> ids.Milliseconds:
+def next_retry_at(state: states.State) -> ids.Milliseconds:
     """Return when the next pause of a stream is over."""
     waiting = (s.retry_at for s in state.streams.values() if _rests(s))
     return min(waiting, default=math.inf)
@@ -221,13 +227,13 @@
 
 def _rests(stream: states.Stream) -> bool:
     """Tell whether a stream is to be read again after its pause."""
-    done = stream.keyed and stream.based and not stream.followed
-    return not stream.reading and not done
+    done = stream.keyed and stream.base_read and not stream.followed
+    return not stream.read_pending and not done
 
 
 def _read(stream: states.Stream, out: states.Effects) -> None:
-    stream.reading = True
-    if stream.keyed and not (stream.based and stream.caught_up):
+    stream.read_pending = True
+    if stream.keyed and not (stream.base_read and stream.caught_up):
         out.append(effects.ReadNewest(stream=stream.name, generation=stream.generation))
         return
     # Until the end was seen once, an empty stream must say so at once: claims are
@@ -238,7 +244,7 @@
             offset=stream.offset,
             # After a failure the question is whether the log answers at all.
             wait=stream.caught_up and not stream.failures,
-            hold_ms=stream.hold_ms,
+            long_poll_ms=stream.long_poll_ms,
             generation=stream.generation,
         )
     )
--- a/src/gingerturn/internal/core/tolerance.py
+++ b/src/gingerturn/internal/core/tolerance.py
@@ -17,11 +17,11 @@
     over: float
     slack: float
 
-    def beyond(self, cap: routes.Workspace) -> float:
+    def allowed_excess(self, cap: routes.Workspace) -> float:
         """Return by how many requests a cap may be passed in a window."""
         allowed = cap.rate * self.window_ms / 1_000.0 + cap.burst
         return self.over * allowed + self.slack
 
 
-USUAL = Tolerance(window_ms=5_000.0, over=0.1, slack=20.0)
+DEFAULT = Tolerance(window_ms=5_000.0, over=0.1, slack=20.0)
 """Where the settings say nothing."""
--- a/src/gingerturn/internal/core/trace.py
+++ b/src/gingerturn/internal/core/trace.py
@@ -37,7 +37,7 @@
         self._target.write(len(content).to_bytes(4, "big") + content)
         self.events += 1
 
-    def note(self, out: list[effects.Effect]) -> None:
+    def record_effects(self, out: list[effects.Effect]) -> None:
         """Take in the effects of the event that was recorded last."""
         self._running.update(encode_effects(out))
 
--- a/src/gingerturn/internal/core/upstream_costs.py
+++ b/src/gingerturn/internal/core/upstream_costs.py
@@ -63,7 +63,7 @@
 the same upstream."""
 
 
-def note_occupancy(
+def record_occupancy(
     state: states.State, member: messages.Member, report: messages.LoadReport
 ) -> None:
     """Take in how busy an upstream said it was."""
@@ -71,11 +71,11 @@
     side = (member.service, member.zone == state.zone)
     known = state.occupancies.get(side)
     if known is None:
-        state.occupancies[side] = states.Occupancy(mean=told, heard=state.now)
+        state.occupancies[side] = states.Occupancy(mean=told, reported_at=state.now)
         return
     mean = _usual_occupancy(state, member)
     known.mean = mean + OCCUPANCY_WEIGHT * (told - mean)
-    known.heard = state.now
+    known.reported_at = state.now
 
 
 def _usual_occupancy(state: states.State, member: messages.Member) -> float:
@@ -84,11 +84,11 @@
     known = state.occupancies.get((member.service, member.zone == state.zone))
     if known is None:
         return 0.0
-    faded: float = 0.5 ** ((state.now - known.heard) / OCCUPANCY_HALF_LIFE_MS)
+    faded: float = 0.5 ** ((state.now - known.reported_at) / OCCUPANCY_HALF_LIFE_MS)
     return known.mean * faded
 
 
-def note_traffic(
+def record_traffic(
     state: states.State,
     node: ids.NodeId,
     kind: str,
@@ -101,18 +101,18 @@
         known = state.traffic[kind] = states.KindTraffic(elapsed, float(size))
     known.elapsed += TRAFFIC_WEIGHT * (elapsed - known.elapsed)
     known.size += TRAFFIC_WEIGHT * (size - known.size)
-    weight = MEAN_SIZE_WEIGHT if state.mean_size else 1.0
-    state.mean_size += weight * (size - state.mean_size)
+    weight = MEAN_SIZE_WEIGHT if state.mean_call_size else 1.0
+    state.mean_call_size += weight * (size - state.mean_call_size)
     relative = min(MOST_SLOWNESS, elapsed / max(1.0, known.elapsed))
     upstream = upstreams.upstream_of(state, node)
     upstream.slowness = _slowness(upstream, state.now)
     upstream.slowness += SLOWNESS_WEIGHT * (relative - upstream.slowness)
-    upstream.timed = state.now
+    upstream.slowness_measured_at = state.now
 
 
 def _slowness(upstream: states.Upstream, now: ids.Milliseconds) -> float:
     """Return the slowness of an upstream, faded since it was measured."""
-    age = now - upstream.timed
+    age = now - upstream.slowness_measured_at
     if age <= 0.0:
         return upstream.slowness
     left: float = 0.5 ** (age / SLOWNESS_HALF_LIFE_MS)
@@ -122,9 +122,9 @@
 def zone_penalty(state: states.State, kind: str) -> float:
     """Return what another zone costs a call of a kind, by its size."""
     known = state.traffic.get(kind)
-    if known is None or state.mean_size <= 0.0:
+    if known is None or state.mean_call_size <= 0.0:
         return ZONE_PENALTY
-    share = known.size / state.mean_size
+    share = known.size / state.mean_call_size
     return ZONE_PENALTY * min(MOST_ZONE_SHARE, max(1.0, share))
 
 
@@ -142,7 +142,7 @@
     if upstream is None:
         usual = 0.0 if member is None else _usual_occupancy(state, member)
         return usual + SLOW_PENALTY + penalty
-    penalty += ERROR_PENALTY * upstream.error
+    penalty += ERROR_PENALTY * upstream.error_rate
     slowness = _slowness(upstream, state.now)
     return _occupancy(state, member, upstream) + SLOW_PENALTY * slowness + penalty
 
@@ -152,6 +152,6 @@
 ) -> float:
     """Return what part of an upstream's limit is expected to be taken."""
     limit = upstream.limit or (member.slots if member else 0) or 1
-    if state.now - upstream.answered <= LOAD_FRESH_MS or member is None:
-        return (upstream.load + upstream.since_report) / limit
-    return _usual_occupancy(state, member) + upstream.since_report / limit
+    if state.now - upstream.load_reported_at <= LOAD_FRESH_MS or member is None:
+        return (upstream.load + upstream.sent_since_report) / limit
+    return _usual_occupancy(state, member) + upstream.sent_since_report / limit
--- a/src/gingerturn/internal/core/upstreams.py
+++ b/src/gingerturn/internal/core/upstreams.py
@@ -30,7 +30,7 @@
     """Return what is known of an upstream; starts afresh for an unknown one."""
     upstream = state.upstreams.get(node)
     if upstream is None:
-        upstream = states.Upstream(node=node, own=states.UNHEARD)
+        upstream = states.Upstream(node=node, own_level=states.NO_REPORTED_LEVEL)
         state.upstreams[node] = upstream
     return upstream
 
@@ -44,7 +44,7 @@
     """Return the healthy upstreams of a service."""
     pool = state.pools.get(service)
     version = state.membership.version
-    if pool is None or pool.version != version or state.now >= pool.until:
+    if pool is None or pool.version != version or state.now >= pool.valid_until:
         pool = state.pools[service] = _look_up(state, service)
     return pool
 
@@ -60,7 +60,7 @@
     healthy = [
         node
         for node in nodes
-        if not is_silent(state, node) and not _ejected(state, node)
+        if not is_unresponsive(state, node) and not _ejected(state, node)
     ]
     share = state.configuration.service(service).eject_share
     if len(nodes) - len(healthy) > share * len(nodes):
@@ -68,9 +68,11 @@
     zone = state.zone
     return states.Pool(
         nodes=healthy,
-        near=[node for node in healthy if membership.members[node].zone == zone],
+        same_zone=[node for node in healthy if membership.members[node].zone == zone],
         version=membership.version,
-        until=min((_next_change(state, node) for node in nodes), default=math.inf),
+        valid_until=min(
+            (_next_change(state, node) for node in nodes), default=math.inf
+        ),
     )
 
 
@@ -80,15 +82,15 @@
     if upstream is None:
         return math.inf
     due = math.inf
-    if node in state.membership.suspected and not is_silent(state, node):
+    if node in state.membership.suspected and not is_unresponsive(state, node):
         # One more than the time itself: only then does it count as passed.
-        due = upstream.answered + ANSWERED_LATELY_MS + 1.0
+        due = upstream.load_reported_at + ANSWERED_LATELY_MS + 1.0
     if _ejected(state, node):
         due = min(due, upstream.ejected_until)
     return due
 
 
-def is_silent(state: states.State, node: ids.NodeId) -> bool:
+def is_unresponsive(state: states.State, node: ids.NodeId) -> bool:
     """Tell whether a node is suspected and has answered no call of late.
 
     Probes are datagrams: where a tenth of them is lost somebody suspects a sound
@@ -98,30 +100,34 @@
     if node not in state.membership.suspected:
         return False
     upstream = state.upstreams.get(node)
-    return upstream is None or state.now - upstream.answered > ANSWERED_LATELY_MS
+    return (
+        upstream is None or state.now - upstream.load_reported_at > ANSWERED_LATELY_MS
+    )
 
 
-def note_answer(state: states.State, node: ids.NodeId, *, failed: bool = False) -> None:
+def record_answer(
+    state: states.State, node: ids.NodeId, *, failed: bool = False
+) -> None:
     """Take in that an upstream answered.
 
     :param failed: with a failure of its own, or by turning the call away.
     """
     upstream = upstream_of(state, node)
-    upstream.failures = 0
+    upstream.consecutive_failures = 0
     upstream.ejections = 0
-    upstream.error += ERROR_WEIGHT * (failed - upstream.error)
+    upstream.error_rate += ERROR_WEIGHT * (failed - upstream.error_rate)
 
 
-def note_failure(state: states.State, node: ids.NodeId) -> bool:
+def record_failure(state: states.State, node: ids.NodeId) -> bool:
     """Take in that an upstream lost or failed a call.
 
     :return: whether it was ejected by this.
     """
     upstream = upstream_of(state, node)
-    upstream.failures += 1
-    if upstream.failures < FAILURES_TO_EJECT:
+    upstream.consecutive_failures += 1
+    if upstream.consecutive_failures < FAILURES_TO_EJECT:
         return False
-    upstream.failures = 0
+    upstream.consecutive_failures = 0
     upstream.ejections = min(MAX_EJECTIONS, upstream.ejections + 1)
     eject(state, upstream, EJECT_MS * upstream.ejections)
     return True
--- a/src/gingerturn/internal/core/workspaces.py
+++ b/src/gingerturn/internal/core/workspaces.py
@@ -39,7 +39,7 @@
     workspace = index.workspace_of(event.key_digest) if event.key_digest else None
     if workspace is not None:
         return workspace
-    if event.key_digest and state.routes_heard > index.version:
+    if event.key_digest and state.highest_routes_version > index.version:
         return decisions.Rule.KEY_UNSETTLED
     return decisions.Rule.KEY_UNKNOWN
 
@@ -49,7 +49,7 @@
     if rule is decisions.Rule.KEYS_STALE:
         return (freshness.age(state), freshness.allowed_ms(state))
     if rule is decisions.Rule.KEY_UNSETTLED:
-        return (float(state.version), float(state.routes_heard))
+        return (float(state.version), float(state.highest_routes_version))
     return ()
 
 
--- a/src/gingerturn/internal/shell/admin.py
+++ b/src/gingerturn/internal/shell/admin.py
@@ -252,8 +252,8 @@
         """Return the requests that this node keeps out."""
         state = self._node.state
         rows = []
-        for request in state.quarantine.kept_out:
-            ends, last_end_s, trial_in_s = quarantine.figures_on(state, request)
+        for request in state.quarantine.quarantined:
+            ends, last_end_s, trial_in_s = quarantine.decision_figures(state, request)
             name = ids.fingerprint_text(request)
             rows.append(KeptOutRow(name, int(ends), last_end_s, trial_in_s))
         return rows
@@ -266,7 +266,7 @@
     ) -> None:
         """Let a request that is kept out run again, everywhere."""
         self._check_beside(request)
-        known = self._node.state.quarantine.kept_out
+        known = self._node.state.quarantine.quarantined
         found = [r for r in known if ids.fingerprint_text(r) == request_id]
         if not found:
             raise exceptions.NotFoundException(
@@ -304,7 +304,7 @@
         upstream = self._node.state.upstreams.get(member.node)
         level = 0
         if upstream is not None:
-            level = levels.faded(upstream.own, clock.now())
+            level = levels.decayed(upstream.own_level, clock.now())
         return MemberRow(
             node=member.node,
             state=member.state.name.lower(),
--- a/src/gingerturn/internal/shell/entry.py
+++ b/src/gingerturn/internal/shell/entry.py
@@ -137,8 +137,8 @@
         carrier.send(
             frames.Open(
                 call=effect.attempt,
-                terms=effect.terms,
-                head=request.head + self._workspace_line(effect.terms.workspace),
+                terms=effect.metadata,
+                head=request.head + self._workspace_line(effect.metadata.workspace),
                 body=bytes(request.body),
                 whole=request.complete,
             )
--- a/src/gingerturn/internal/shell/exchanges.py
+++ b/src/gingerturn/internal/shell/exchanges.py
@@ -70,7 +70,7 @@
         self._streaming = False
         self._credit = WINDOW
 
-    def hand_over(self, effect: effects.HandOver) -> None:
+    def hand_over(self, effect: effects.DispatchCall) -> None:
         """Hand the call to the backend server."""
         pool = self._node.home.pool
         pool.use(effect.host, effect.port)
@@ -142,7 +142,7 @@
             return
         self._open = False
 
-    def send_kept(self, effect: effects.SendKeptAnswer, kept: KeptAnswer) -> None:
+    def send_kept(self, effect: effects.SendStoredAnswer, kept: KeptAnswer) -> None:
         """Send the kept answer of an earlier call."""
         self._send(
             frames.Answer(
@@ -211,7 +211,9 @@
             self._send(frames.Broken(call=self._opened.call))
             self._open = False
         self._node.apply(
-            events.BackendFailed(now=clock.now(), hosted=self._hosted, handed=handed)
+            events.BackendFailed(
+                now=clock.now(), hosted=self._hosted, dispatched=handed
+            )
         )
         if self._hosted not in self._node.state.hosted:
             self._node.home.drop_exchange(self._hosted)
@@ -230,7 +232,7 @@
         if self._open:
             self._channel.send(frame)
 
-    async def _connect(self, effect: effects.HandOver) -> None:
+    async def _connect(self, effect: effects.DispatchCall) -> None:
         try:
             connection = await self._node.home.pool.connect()
         except (OSError, TimeoutError):
@@ -242,7 +244,7 @@
         self._begin(connection, effect)
 
     def _begin(
-        self, connection: backend_http.Connection, effect: effects.HandOver
+        self, connection: backend_http.Connection, effect: effects.DispatchCall
     ) -> None:
         self._connection = connection
         opened = self._opened
@@ -259,7 +261,7 @@
             self._write_chunk(chunk)
         self._upload.clear()
 
-    def _backend_head(self, effect: effects.HandOver) -> bytes:
+    def _backend_head(self, effect: effects.DispatchCall) -> bytes:
         dialect = self._node.dialect
         opened = self._opened
         head = opened.head
--- a/src/gingerturn/internal/shell/home.py
+++ b/src/gingerturn/internal/shell/home.py
@@ -39,13 +39,13 @@
     def handlers(self) -> "nodes.Handlers":
         """Return the effects that are carried out here."""
         return {
-            effects.HandOver: self._hand_over,
+            effects.DispatchCall: self._hand_over,
             effects.CancelBackend: self._cancel_backend,
             effects.CheckBackend: self._check_backend,
             effects.SendAnswer: self._send_answer,
-            effects.SendKeptAnswer: self._send_kept_answer,
-            effects.KeepAnswer: self._keep_answer,
-            effects.ForgetAnswer: self._forget_answer,
+            effects.SendStoredAnswer: self._send_kept_answer,
+            effects.StoreAnswer: self._keep_answer,
+            effects.DeleteStoredAnswer: self._forget_answer,
             effects.SendRefusal: self._send_refusal,
         }
 
@@ -90,11 +90,14 @@
         )
         self._node.apply(
             events.OpenReceived(
-                now=clock.now(), hosted=hosted, sender=channel.peer, call=frame.terms
+                now=clock.now(),
+                hosted=hosted,
+                sender=channel.peer,
+                metadata=frame.terms,
             )
         )
 
-    def _hand_over(self, effect: effects.HandOver) -> None:
+    def _hand_over(self, effect: effects.DispatchCall) -> None:
         self._exchanges[effect.hosted].hand_over(effect)
 
     def _cancel_backend(self, effect: effects.CancelBackend) -> None:
@@ -135,11 +138,11 @@
 
     def _send_answer(self, effect: effects.SendAnswer) -> None:
         exchange = self._exchanges[effect.hosted]
-        if effect.keep_as:
-            self._keep(effect.keep_as, exchange)
+        if effect.store_key:
+            self._keep(effect.store_key, exchange)
         exchange.send_answer(effect)
 
-    def _send_kept_answer(self, effect: effects.SendKeptAnswer) -> None:
+    def _send_kept_answer(self, effect: effects.SendStoredAnswer) -> None:
         exchange = self._exchanges[effect.hosted]
         kept = self._kept.get(effect.key)
         if kept is not None:
@@ -148,7 +151,9 @@
             exchange.refuse(self._too_long_to_keep(effect))
         self.drop_exchange(effect.hosted)
 
-    def _too_long_to_keep(self, effect: effects.SendKeptAnswer) -> effects.SendRefusal:
+    def _too_long_to_keep(
+        self, effect: effects.SendStoredAnswer
+    ) -> effects.SendRefusal:
         return effects.SendRefusal(
             hosted=effect.hosted,
             refusal=messages.Refusal(
@@ -161,7 +166,7 @@
             report=effect.report,
         )
 
-    def _keep_answer(self, effect: effects.KeepAnswer) -> None:
+    def _keep_answer(self, effect: effects.StoreAnswer) -> None:
         exchange = self._exchanges.get(effect.hosted)
         if exchange is not None:
             self._keep(effect.key, exchange)
@@ -171,7 +176,7 @@
         if len(kept.body) <= MAX_KEPT_BYTES:
             self._kept[key] = kept
 
-    def _forget_answer(self, effect: effects.ForgetAnswer) -> None:
+    def _forget_answer(self, effect: effects.DeleteStoredAnswer) -> None:
         self._kept.pop(effect.key, None)
 
     def _send_refusal(self, effect: effects.SendRefusal) -> None:
--- a/src/gingerturn/internal/shell/links.py
+++ b/src/gingerturn/internal/shell/links.py
@@ -79,8 +79,8 @@
     def handlers(self) -> "nodes.Handlers":
         """Return the effects that are carried out here."""
         return {
-            effects.AskLevel: self._ask_level,
-            effects.TellLevel: self._tell_level,
+            effects.RequestLevel: self._ask_level,
+            effects.ReportLevel: self._tell_level,
             effects.FetchSnapshot: self._fetch_snapshot,
             effects.FetchRoutes: self._fetch_routes,
         }
@@ -140,7 +140,7 @@
             return None
         return msgspec.json.decode(content, type=decisions.Decision)
 
-    def _ask_level(self, effect: effects.AskLevel) -> None:
+    def _ask_level(self, effect: effects.RequestLevel) -> None:
         address = ids.Address(effect.host, effect.port)
         number = self._next_ask()
         self._level_asks[number] = (effect.node, effect.kind, address)
@@ -152,13 +152,13 @@
         question = self._next_ask()
         self._level_questions[question] = (channel, frame.call)
         self._node.apply(
-            events.LevelAsked(
-                now=clock.now(), question=question, kind=ids.KindName(frame.kind)
+            events.LevelRequested(
+                now=clock.now(), request=question, kind=ids.KindName(frame.kind)
             )
         )
 
-    def _tell_level(self, effect: effects.TellLevel) -> None:
-        channel, call = self._level_questions.pop(effect.question)
+    def _tell_level(self, effect: effects.ReportLevel) -> None:
+        channel, call = self._level_questions.pop(effect.request)
         channel.send(frames.TellLevel(call=call, report=effect.report))
 
     def _on_level_told(self, frame: frames.TellLevel) -> None:
@@ -168,7 +168,9 @@
         node, kind, address = known
         self.carrier(node, address).forget(frame.call)
         self._node.apply(
-            events.LevelTold(now=clock.now(), node=node, kind=kind, report=frame.report)
+            events.LevelReported(
+                now=clock.now(), node=node, kind=kind, report=frame.report
+            )
         )
 
     def _fetch_routes(self, effect: effects.FetchRoutes) -> None:
--- a/src/gingerturn/internal/shell/log_side.py
+++ b/src/gingerturn/internal/shell/log_side.py
@@ -58,7 +58,7 @@
         asked = clock.now()
         try:
             reply = await self._service.read(
-                stream, effect.offset, wait=effect.wait, hold_ms=effect.hold_ms
+                stream, effect.offset, wait=effect.wait, hold_ms=effect.long_poll_ms
             )
         except errors.LogServiceError as error:
             logs.write("INFO", "log", f"{error}.")
@@ -81,8 +81,8 @@
                 records=reply.contents,
                 oldest=reply.oldest,
                 end=reply.end,
-                asked=asked,
-                held_ms=_held_ms(reply, now - asked),
+                requested_at=asked,
+                held_open_ms=_held_ms(reply, now - asked),
                 extra=effect.extra,
                 missing=reply.missing or reply.end < effect.offset,
                 generation=effect.generation,
@@ -115,7 +115,7 @@
                 stream=stream,
                 records=reply.contents,
                 end=reply.end,
-                asked=asked,
+                requested_at=asked,
                 generation=effect.generation,
                 epoch=ids.LogEpoch(reply.epoch),
             )
--- a/src/gingerturn/internal/shell/node.py
+++ b/src/gingerturn/internal/shell/node.py
@@ -362,7 +362,7 @@
         self.counters.events += 1
         out = reducer.reduce(self.state, event)
         if self._recorder is not None:
-            self._recorder.note(out)
+            self._recorder.record_effects(out)
         for effect in out:
             self._handlers[type(effect)](effect)
 
@@ -402,13 +402,13 @@
         logs.write(
             "WARNING" if failure else "INFO",
             effect.part,
-            decisions.words_of(rule),
+            decisions.description_of(rule),
             request=effect.request,
             rule=rule.name.lower(),
             kind=effect.kind,
             upstream=effect.upstream,
             status=effect.status,
-            figures=decisions.named(rule, effect.figures),
+            figures=decisions.named_figures(rule, effect.figures),
             version=effect.version,
             waited_ms=round(effect.waited_ms, 1),
             workspace=effect.workspace,
--- a/src/gingerturn/internal/shell/probes.py
+++ b/src/gingerturn/internal/shell/probes.py
@@ -28,7 +28,7 @@
     bounds = [f"{bound:g}" for bound in levels.AGE_BOUNDS_MS] + ["+Inf", "none"]
     rows: list[tuple[str, float]] = []
     total = 0
-    for bound, count in zip(bounds, state.level_ages, strict=True):
+    for bound, count in zip(bounds, state.level_age_counts, strict=True):
         total += count
         rows.append((f'{{le="{bound}"}}', float(count if bound == "none" else total)))
     return rows
@@ -38,8 +38,8 @@
     state: states.State,
 ) -> list[tuple[str, str, list[tuple[str, float]]]]:
     """Return what workspaces used here, and their caps; as many as are counted."""
-    use = sorted(state.caps.use.items())
-    passed = [(_label(name), float(counted.passed)) for name, counted in use]
+    use = sorted(state.caps.usage.items())
+    passed = [(_label(name), float(counted.admitted)) for name, counted in use]
     refused = [(_label(name), float(counted.refused)) for name, counted in use]
     index = state.routes
     known = [] if index is None else [index.workspace(name) for name, _ in use]
@@ -89,8 +89,8 @@
     add("backend_limit", "gauge", ("", backend.limit))
     add("backend_queue", "gauge", ("", len(backend.queue)))
     add("backend_level", "gauge", ("", backend.level))
-    add("backend_ends_total", "counter", ("", backend.ends))
-    add("requests_kept_out", "gauge", ("", len(state.quarantine.kept_out)))
+    add("backend_ends_total", "counter", ("", backend.crash_count))
+    add("requests_kept_out", "gauge", ("", len(state.quarantine.quarantined)))
     add("members", "gauge", ("", len(state.membership.members)))
     upstreams = sum(len(nodes) for nodes in state.membership.by_service.values())
     add("upstreams", "gauge", ("", upstreams))
@@ -100,9 +100,9 @@
     add("log_reads_missing_total", "counter", *_missing(state))
     add("log_epoch", "gauge", ("", state.log.highest))
     add("log_restores_total", "counter", ("", state.log.restores))
-    add("requests_held", "gauge", ("", len(state.caps.held)))
-    add("cap_share_kept", "gauge", ("", state.cap_keeper.share))
-    add("keys_proven_age_ms", "gauge", ("", freshness.word(state)))
+    add("requests_held", "gauge", ("", len(state.caps.waiting_calls)))
+    add("cap_share_kept", "gauge", ("", state.cap_allocator.delegated_share))
+    add("keys_proven_age_ms", "gauge", ("", freshness.advertised_age_ms(state)))
     add("keys_closed", "gauge", ("", freshness.is_stale(state)))
     for name, kind, rows in _workspaces(state):
         add(name, kind, *rows)
--- a/src/gingerturn/internal/wire/datagrams.py
+++ b/src/gingerturn/internal/wire/datagrams.py
@@ -52,7 +52,7 @@
     part.target = message.target
     part.cursor = message.cursor
     part.routeVersion = message.route_version
-    part.provenAgeMs = message.proven_age_ms
+    part.provenAgeMs = message.verified_age_ms
     part.logEpoch = message.log_epoch
     part.configDigest = message.config_digest
     if message.caps is not None:
@@ -100,7 +100,7 @@
             cursor=part.cursor,
             route_version=part.routeVersion,
             quarantine=_news(part),
-            proven_age_ms=part.provenAgeMs,
+            verified_age_ms=part.provenAgeMs,
             caps=_CAPS_DECODER.decode(part.caps) if part.caps else None,
             log_epoch=ids.LogEpoch(part.logEpoch),
             config_digest=part.configDigest,
@@ -129,13 +129,13 @@
     )
 
 
-def _put_news(part: typing.Any, news: messages.QuarantineNews) -> None:
+def _put_news(part: typing.Any, news: messages.QuarantineGossip) -> None:
     """Write what rides along on requests that end backend servers."""
-    if news is messages.NO_QUARANTINE_NEWS:
+    if news is messages.NO_QUARANTINE_GOSSIP:
         return
     part.quarantineDigest = news.digest
-    ends = part.init("ends", len(news.ends))
-    for slot, end in zip(ends, news.ends, strict=True):
+    ends = part.init("ends", len(news.crashes))
+    for slot, end in zip(ends, news.crashes, strict=True):
         slot.node = end.node
         slot.incarnation = end.incarnation
         slot.number = end.number
@@ -144,33 +144,33 @@
         slot.requests = b"".join(
             request.to_bytes(ids.FINGERPRINT_BYTES) for request in end.requests
         )
-    words = part.init("words", len(news.words))
-    for slot, word in zip(words, news.words, strict=True):
+    words = part.init("words", len(news.updates))
+    for slot, word in zip(words, news.updates, strict=True):
         slot.request = word.request
-        slot.ends = min(word.ends, messages.MAX_ENDS)
+        slot.ends = min(word.crash_count, messages.MAX_ENDS)
         slot.ageMs = _age(word.age_ms)
 
 
-def _news(part: typing.Any) -> messages.QuarantineNews:
+def _news(part: typing.Any) -> messages.QuarantineGossip:
     if not (part.quarantineDigest or len(part.ends) or len(part.words)):
-        return messages.NO_QUARANTINE_NEWS
-    return messages.QuarantineNews(
-        ends=tuple(_end(slot) for slot in part.ends),
-        words=tuple(
-            messages.QuarantineWord(slot.request, slot.ends, float(slot.ageMs))
+        return messages.NO_QUARANTINE_GOSSIP
+    return messages.QuarantineGossip(
+        crashes=tuple(_end(slot) for slot in part.ends),
+        updates=tuple(
+            messages.QuarantineUpdate(slot.request, slot.ends, float(slot.ageMs))
             for slot in part.words
         ),
         digest=part.quarantineDigest,
     )
 
 
-def _end(slot: typing.Any) -> messages.BackendEnd:
+def _end(slot: typing.Any) -> messages.BackendCrash:
     content = slot.requests
     requests = tuple(
         int.from_bytes(content[first : first + ids.FINGERPRINT_BYTES])
         for first in range(0, len(content), ids.FINGERPRINT_BYTES)
     )
-    return messages.BackendEnd(
+    return messages.BackendCrash(
         node=ids.NodeId(slot.node),
         incarnation=ids.Incarnation(slot.incarnation),
         number=slot.number,
--- a/src/gingerturn/internal/wire/frames.py
+++ b/src/gingerturn/internal/wire/frames.py
@@ -30,7 +30,7 @@
     """
 
     call: int
-    terms: messages.CallTerms
+    terms: messages.CallMetadata
     head: bytes
     body: bytes
     whole: bool
--- a/tests/common/builders.py
+++ b/tests/common/builders.py
@@ -11,7 +11,7 @@
     events,
     messages,
     reducer,
-    settling,
+    startup_waits,
     state as states,
 )
 
@@ -95,7 +95,7 @@
     """Return a node with the configuration in force, some time after its start."""
     state = reducer.new_state(started(name, now=now))
     reducer.reduce(state, started(name, now=now))
-    state.started = now - settling.SETTLE_MS
+    state.started_at = now - startup_waits.SETTLE_MS
     state.configuration = configured()
     if service:
         reducer.reduce(state, announced(service, slots=slots, now=now))
@@ -181,7 +181,7 @@
     )
 
 
-def call_terms(**changes: object) -> messages.CallTerms:
+def call_terms(**changes: object) -> messages.CallMetadata:
     """Return the terms of a plain lookup."""
     fields: dict[str, object] = {
         "service": "plans",
@@ -195,18 +195,18 @@
         "repeatable": True,
     }
     fields.update(changes)
-    return messages.CallTerms(**fields)  # type: ignore[arg-type]
+    return messages.CallMetadata(**fields)  # type: ignore[arg-type]
 
 
 def opened(
-    hosted: int, terms: messages.CallTerms | None = None, *, now: float = START
+    hosted: int, terms: messages.CallMetadata | None = None, *, now: float = START
 ) -> events.OpenReceived:
     """Return the arrival of a call at its home node."""
     return events.OpenReceived(
         now=now,
         hosted=ids.HostedId(hosted),
         sender=ids.NodeId("entry"),
-        call=terms or call_terms(),
+        metadata=terms or call_terms(),
     )
 
 
@@ -272,8 +272,8 @@
         tree_level=ids.Rank(tree_level),
         load=load,
         limit=limit,
-        scarce=ids.ServiceName(scarce),
-        slot_ms=slot_ms,
+        bottleneck=ids.ServiceName(scarce),
+        bottleneck_slot_ms=slot_ms,
     )
 
 
--- a/tests/common/keyed.py
+++ b/tests/common/keyed.py
@@ -53,7 +53,7 @@
     begin = msgspec.structs.replace(routed.started(name), revoke_ms=revoke_ms)
     state = reducer.new_state(begin)
     reducer.reduce(state, begin)
-    state.started = begin.now - 10_000.0
+    state.started_at = begin.now - 10_000.0
     record = table(*workspaces, listed=listed)
     prove(state, record)
     if upstream:
@@ -74,7 +74,7 @@
             stream=streams.ROUTES,
             records=tuple(messages.encode_record(table) for table in tables),
             end=1,
-            asked=state.now if asked is None else asked,
+            requested_at=state.now if asked is None else asked,
         ),
     )
 
--- a/tests/common/routed.py
+++ b/tests/common/routed.py
@@ -10,7 +10,7 @@
     events,
     messages,
     reducer,
-    settling,
+    startup_waits,
     state as states,
 )
 from tests.common import builders
@@ -70,7 +70,7 @@
     begin = started(name, retry_bound=retry_bound)
     state = reducer.new_state(begin)
     reducer.reduce(state, begin)
-    state.started = begin.now - settling.SETTLE_MS
+    state.started_at = begin.now - startup_waits.SETTLE_MS
     reducer.reduce(state, events.RoutesReceived(now=begin.now, table=table(*listed)))
     if service:
         reducer.reduce(state, announced(service, slots=slots))
@@ -140,8 +140,8 @@
             outcome=outcome,
             retry_after_ms=500.0,
             decision="",
-            arrived=arrived_there,
-            room=room,
+            reached_backend=arrived_there,
+            had_free_slots=room,
         ),
         tokens=0,
         report=builders.report(),
--- a/tests/common/scenario.py
+++ b/tests/common/scenario.py
@@ -208,7 +208,7 @@
             self._send(root)
 
     def _on_effect(self, node: parts.FakeNode, effect: effects.Effect) -> None:
-        if isinstance(effect, effects.HandOver):
+        if isinstance(effect, effects.DispatchCall):
             self._handed.append((self._seconds, node.name))
         elif isinstance(effect, effects.OpenAttempt):
             self._opened.append((self._seconds, str(effect.node)))
--- a/tests/cover/test_a_new_start_under_the_same_id.py
+++ b/tests/cover/test_a_new_start_under_the_same_id.py
@@ -74,7 +74,7 @@
     assert refused.refusal.rule == decisions.Rule.LEAVING
     reducer.reduce(state, _announced(started_ms=SECOND_MS, sequence=1))
     out = reducer.reduce(state, builders.opened(2))
-    assert builders.only(out, effects.HandOver).instance == "i-1"
+    assert builders.only(out, effects.DispatchCall).instance == "i-1"
 
 
 def test_a_late_leaving_of_the_former_start_takes_nothing_away() -> None:
@@ -85,7 +85,7 @@
     )
     reducer.reduce(state, leaving)
     out = reducer.reduce(state, builders.opened(1))
-    assert builders.all_of(out, effects.HandOver)
+    assert builders.all_of(out, effects.DispatchCall)
 
 
 def test_one_that_was_replaced_and_started_again_takes_over() -> None:
@@ -136,7 +136,7 @@
     state = _home()
     backend = state.backend
     backend.level = ids.Rank(70_000)
-    backend.times["lookup"] = states.ServiceTime(mean_ms=900.0, measured=state.now)
+    backend.times["lookup"] = states.ServiceTime(mean_ms=900.0, measured_at=state.now)
     backend.unreachable_until = state.now + 400.0
     reducer.reduce(state, _announced(started_ms=SECOND_MS))
     assert (backend.level, backend.times, backend.unreachable_until) == (0, {}, 0.0)
@@ -155,19 +155,19 @@
     node = ids.NodeId("n2")
     sent = routed.sent_to(reducer.reduce(state, routed.arrived(1)))
     for _ in range(upstreams.FAILURES_TO_EJECT):
-        upstreams.note_failure(state, node)
+        upstreams.record_failure(state, node)
     builders.add_members(state, _member(SECOND_MS, 2))
     upstream = state.upstreams[node]
-    assert (upstream.ejected_until, upstream.error, upstream.load) == (0.0, 0.0, 0)
+    assert (upstream.ejected_until, upstream.error_rate, upstream.load) == (0.0, 0.0, 0)
     reducer.reduce(state, builders.answered(sent.attempt))
     assert upstream.outstanding == 0
 
 
 def test_a_home_tells_the_others_of_the_start_beside_it() -> None:
     state = _home()
-    before = state.membership.me
+    before = state.membership.self_member
     reducer.reduce(state, _announced(started_ms=SECOND_MS))
-    me = state.membership.me
+    me = state.membership.self_member
     assert before is not None and me is not None
     assert (before.backend_started_ms, me.backend_started_ms) == (FIRST_MS, SECOND_MS)
     assert me.version > before.version
--- a/tests/cover/test_announcements.py
+++ b/tests/cover/test_announcements.py
@@ -38,7 +38,7 @@
     reducer.reduce(state, routed.announced(instance="i-1", sequence=99))
     reducer.reduce(state, _withdrawn("i-1"))
     out = reducer.reduce(state, builders.opened(1))
-    assert builders.only(out, effects.HandOver).instance == "i-2"
+    assert builders.only(out, effects.DispatchCall).instance == "i-2"
 
 
 def test_a_late_word_of_an_instance_of_before_a_restart_costs_no_more_than_a_call() -> (
@@ -56,7 +56,7 @@
     reducer.reduce(state, misdirected)
     reducer.reduce(state, routed.announced(instance="i-1", sequence=3))
     out = reducer.reduce(state, builders.opened(2))
-    assert builders.only(out, effects.HandOver).instance == "i-1"
+    assert builders.only(out, effects.DispatchCall).instance == "i-1"
 
 
 def test_a_replaced_instance_does_not_come_back_beside_its_successor() -> None:
@@ -64,7 +64,7 @@
     reducer.reduce(state, routed.announced(instance="i-2"))
     reducer.reduce(state, routed.announced(instance="i-1", sequence=9))
     out = reducer.reduce(state, builders.opened(1))
-    assert builders.only(out, effects.HandOver).instance == "i-2"
+    assert builders.only(out, effects.DispatchCall).instance == "i-2"
 
 
 def test_a_replaced_instance_needs_a_later_word_to_come_back() -> None:
@@ -97,9 +97,9 @@
     )
     refusal = builders.only(out, effects.SendRefusal).refusal
     assert refusal.outcome is messages.Outcome.NOT_RUN
-    assert not refusal.arrived
+    assert not refusal.reached_backend
     assert _rule(reducer.reduce(state, builders.opened(2))) is decisions.Rule.NO_BACKEND
-    me = state.membership.me
+    me = state.membership.self_member
     assert me is not None and me.service == ""
 
 
@@ -114,7 +114,7 @@
     )
     refusal = builders.only(out, effects.SendRefusal).refusal
     assert refusal.outcome is messages.Outcome.NOT_RUN
-    assert refusal.arrived
+    assert refusal.reached_backend
 
 
 @pytest.mark.parametrize(
--- a/tests/cover/test_caps.py
+++ b/tests/cover/test_caps.py
@@ -15,8 +15,8 @@
 from gingerturn import routes
 from gingerturn.internal import ids
 from gingerturn.internal.core import (
+    cap_allocator,
     cap_buckets,
-    cap_keeper,
     cap_window,
     caps,
     effects,
@@ -120,7 +120,7 @@
         reducer.reduce(state, keyed.arrived(call + 1, now=state.now))
         _tick(state, 30.0)
     bucket = state.caps.buckets["shop"]
-    assert not state.caps.held
+    assert not state.caps.waiting_calls
     assert bucket.tokens >= 1.0
 
 
@@ -226,7 +226,7 @@
 
 
 def _of_keeper(made: capped.Deployment) -> str:
-    return str(next(iter(made.world.nodes.values())).state.caps.keeper)
+    return str(next(iter(made.world.nodes.values())).state.caps.allocator)
 
 
 def test_a_keeper_that_stops_leaves_the_caps_to_the_next_without_a_gap() -> None:
@@ -267,7 +267,7 @@
     assert second != first
     made.world.restart(first)
     made.world.run(15_000.0)
-    keepers = {node.state.caps.keeper for node in made.world.nodes.values()}
+    keepers = {node.state.caps.allocator for node in made.world.nodes.values()}
     assert keepers == {second}
 
 
@@ -277,34 +277,34 @@
     return state
 
 
-def _asked(number: int, stamp: float) -> messages.CapAsk:
-    return messages.CapAsk(number=number, stamp=stamp, demands=())
+def _asked(number: int, stamp: float) -> messages.CapRequest:
+    return messages.CapRequest(number=number, stamp=stamp, demands=())
 
 
 def test_a_question_of_before_a_standstill_of_the_keeper_lends_nothing() -> None:
     state = _keeper()
-    stamp = cap_keeper.answer(state, "a", _asked(1, 0.0)).stamp
-    state.now += cap_keeper.TERM_MS + 1.0
-    cap_keeper.answer(state, "a", _asked(2, stamp))
-    assert cap_keeper.lent_share(state) == 0.0
+    stamp = cap_allocator.grant(state, "a", _asked(1, 0.0)).stamp
+    state.now += cap_allocator.TERM_MS + 1.0
+    cap_allocator.grant(state, "a", _asked(2, stamp))
+    assert cap_allocator.current_share(state) == 0.0
 
 
 def test_a_member_that_is_gone_still_owns_its_part() -> None:
     """It may be at work on the other side of a parted network."""
     state = _keeper()
-    before = member_order.owners(state)
+    before = member_order.cap_sharer_count(state)
     gone = builders.member("a", "plans")
     fields = {name: getattr(gone, name) for name in gone.__struct_fields__}
     fields |= {"state": messages.MemberState.GONE, "version": 2}
     builders.add_members(state, messages.Member(**fields))
-    assert member_order.owners(state) == before
+    assert member_order.cap_sharer_count(state) == before
 
 
 def test_a_keeper_forgets_workspaces_that_ask_for_nothing_any_more() -> None:
     made = capped.Deployment(_workspace(50.0), nodes=3)
     made.load("shop", made.names, rate=20.0, duration_ms=1_000.0)
     made.world.run(1_000.0)
-    keeper = made.world.nodes[_of_keeper(made)].state.cap_keeper
+    keeper = made.world.nodes[_of_keeper(made)].state.cap_allocator
     assert keeper.windows and keeper.grants
     made.world.run(12_000.0)
     assert not keeper.windows
@@ -313,12 +313,12 @@
 
 def test_a_member_that_left_owns_nothing() -> None:
     state = _keeper()
-    before = member_order.owners(state)
+    before = member_order.cap_sharer_count(state)
     leaving = builders.member("a", "plans")
     fields = {name: getattr(leaving, name) for name in leaving.__struct_fields__}
     fields |= {"state": messages.MemberState.LEAVING, "version": 2}
     builders.add_members(state, messages.Member(**fields))
-    assert member_order.owners(state) == before - 1
+    assert member_order.cap_sharer_count(state) == before - 1
 
 
 def test_leases_of_a_suspended_node_have_ended_when_it_wakes() -> None:
@@ -329,10 +329,10 @@
     bucket = state.caps.buckets["shop"]
     assert bucket.lease_until > state.now
     tokens = bucket.tokens
-    state.caps.lent_until = state.now + 120_000.0
+    state.caps.delegated_until = state.now + 120_000.0
     state.now += 60_000.0
     cap_buckets.refill(state, bucket, _workspace(10.0))
-    most = tokens + bucket.rate_milli * cap_keeper.TERM_MS / 1e6
+    most = tokens + bucket.rate_milli * cap_allocator.TERM_MS / 1e6
     assert bucket.tokens <= max(most, cap_buckets.depth_of(bucket.rate_milli))
 
 
@@ -355,7 +355,9 @@
 
 
 def _stop_keeper(made: capped.Deployment, chance: random.Random) -> None:
-    keeping = [n for n in made.world.nodes.values() if n.state.cap_keeper.loans]
+    keeping = [
+        n for n in made.world.nodes.values() if n.state.cap_allocator.delegations
+    ]
     name = keeping[0].name if keeping else ""
     if keeping and keeping[0].alive:
         made.world.apply(name, events.StopRequested(now=made.world.now))
@@ -468,12 +470,12 @@
     window = states.CapWindow()
     cap_window.charge(state, window, 5.0)
     state.now += 1_000.0
-    cap_window.take_back(state, window, 3.0)
+    cap_window.refund(state, window, 3.0)
     assert cap_window.used(window) == 2.0
     state.now += WINDOW_MS
-    state.cap_keeper.share = 1.0
+    state.cap_allocator.delegated_share = 1.0
     whole = cap_window.allowed(state, _workspace(10.0))
-    assert cap_window.left(state, window, _workspace(10.0)) == whole
+    assert cap_window.remaining(state, window, _workspace(10.0)) == whole
 
 
 def test_without_caps_nobody_is_asked() -> None:
--- a/tests/cover/test_choice_of_upstream.py
+++ b/tests/cover/test_choice_of_upstream.py
@@ -50,7 +50,7 @@
 def _chosen(state: states.State, kind: str, near_load: int) -> collections.Counter[str]:
     for node, load in (("near", near_load), ("far", 10)):
         report = builders.report(load=load, limit=100)
-        routing.hear(state, ids.NodeId(node), kind, report)
+        routing.on_load_report(state, ids.NodeId(node), kind, report)
     nodes = upstreams.candidates(state, ids.ServiceName("plans"))
     chosen = (routing.choose(state, nodes, kind, ranks.HIGHEST) for _ in range(50))
     return collections.Counter(str(node) for node in chosen)
@@ -61,7 +61,7 @@
     # Both upstreams are met once, whatever the choice.
     for node in ("near", "far"):
         report = builders.report(load=1, limit=100)
-        routing.hear(state, ids.NodeId(node), SMALL, report)
+        routing.on_load_report(state, ids.NodeId(node), SMALL, report)
     for call in range(1_000, 2_000, 2):
         _play(state, SMALL, 400, call)
         _play(state, LARGE, 20_000, call + 1)
@@ -80,11 +80,11 @@
     builders.add_members(state, *near, *far)
     for member in far:
         report = builders.report(load=far_load, limit=100)
-        routing.hear(state, member.node, SMALL, report)
+        routing.on_load_report(state, member.node, SMALL, report)
     state.now += far_age_ms
     for member in near:
         report = builders.report(load=near_load, limit=100)
-        routing.hear(state, member.node, SMALL, report)
+        routing.on_load_report(state, member.node, SMALL, report)
 
 
 def _share_near(state: states.State) -> float:
@@ -100,7 +100,7 @@
     for _ in range(5):
         # Of the others the few that were tried tell that they are busier by now.
         report = builders.report(load=45, limit=100)
-        routing.hear(state, ids.NodeId("far-0"), SMALL, report)
+        routing.on_load_report(state, ids.NodeId("far-0"), SMALL, report)
     assert _share_near(state) > 0.9
 
 
@@ -121,9 +121,9 @@
     for _ in range(200):
         for name in names:
             node = ids.NodeId(name)
-            routing.hear(state, node, "lookup", idle)
+            routing.on_load_report(state, node, "lookup", idle)
             elapsed = 360.0 if name == "n2" else 30.0
-            upstream_costs.note_traffic(state, node, "lookup", elapsed, 500)
+            upstream_costs.record_traffic(state, node, "lookup", elapsed, 500)
         state.now += 1.0
     nodes = upstreams.candidates(state, ids.ServiceName("plans"))
     first = [routing.choose(state, nodes, "lookup", 0) for _ in range(200)]
--- a/tests/cover/test_claims_of_a_restored_log.py
+++ b/tests/cover/test_claims_of_a_restored_log.py
@@ -122,7 +122,7 @@
     assert builders.all_of(out, effects.SendRefusal)
     out = _claims_read(state, own, epoch=2)
     out += _open(state, 2, key)
-    assert not builders.all_of(out, effects.HandOver)
+    assert not builders.all_of(out, effects.DispatchCall)
 
 
 def test_a_derived_key_is_claimed_again_once_no_request_of_before_can_be_left() -> None:
--- a/tests/cover/test_come_back.py
+++ b/tests/cover/test_come_back.py
@@ -7,10 +7,10 @@
 
 from gingerturn.internal import ids
 from gingerturn.internal.core import (
-    come_back,
     effects,
     ranks,
     reducer,
+    retry_delay,
     routing,
     state as states,
 )
@@ -32,7 +32,7 @@
 def _tell(state: states.State, level: int, *, after_ms: float) -> None:
     state.now += after_ms
     report = builders.report(level=ids.Rank(level))
-    routing.hear(state, ids.NodeId("n2"), "lookup", report)
+    routing.on_load_report(state, ids.NodeId("n2"), "lookup", report)
 
 
 def _refused(state: states.State, call: int) -> float:
@@ -42,10 +42,10 @@
 
 def test_under_a_lasting_overload_they_come_while_an_answer_is_on_target() -> None:
     state = _entry(level=FULL)
-    state.answer_ms["lookup"] = 100.0
+    state.mean_answer_ms["lookup"] = 100.0
     for call in range(10, 60):
         wait = _refused(state, call)
-        usual = come_back.USUAL_MARGIN * 100.0
+        usual = retry_delay.USUAL_MARGIN * 100.0
         assert TARGET_MS / 2 < wait <= TARGET_MS - usual
 
 
@@ -53,14 +53,14 @@
     waits = []
     for usual in (20.0, 200.0):
         state = _entry(level=FULL)
-        state.answer_ms["lookup"] = usual
+        state.mean_answer_ms["lookup"] = usual
         waits.append(sum(_refused(state, call) for call in range(10, 40)) / 30)
     assert waits[0] > waits[1] + 100.0
 
 
 def test_where_the_level_falls_they_come_when_it_has_passed_their_rank() -> None:
     state = _entry(level=FULL)
-    state.answer_ms["lookup"] = 10.0
+    state.mean_answer_ms["lookup"] = 10.0
     _refused(state, 10)
     # It falls by 4,000 a millisecond; a call of half that span below has half a
     # second less to wait.
@@ -72,15 +72,15 @@
         if not refusals:
             continue
         rank = next(line for line in builders.all_of(out, effects.LogDecision)).figures
-        room_ms = max(come_back.LEAST_MS, (level - rank[2]) / 4_000)
-        assert refusals[0].retry_after_ms <= room_ms * (1 + come_back.SPREAD) + 1
+        room_ms = max(retry_delay.LEAST_MS, (level - rank[2]) / 4_000)
+        assert refusals[0].retry_after_ms <= room_ms * (1 + retry_delay.SPREAD) + 1
 
 
 def test_nobody_is_sent_back_before_news_of_levels_can_have_come() -> None:
     state = _entry(level=FULL)
-    state.answer_ms["lookup"] = 1_000.0
+    state.mean_answer_ms["lookup"] = 1_000.0
     for call in range(10, 40):
-        assert _refused(state, call) >= come_back.LEAST_MS
+        assert _refused(state, call) >= retry_delay.LEAST_MS
 
 
 def test_callers_refused_at_one_moment_do_not_come_back_at_one() -> None:
@@ -97,4 +97,4 @@
         later = state.now + 80.0
         reducer.reduce(state, builders.answered(sent.attempt, now=later))
         state.now = later - 80.0
-    assert 60.0 < state.answer_ms["lookup"] <= 80.0
+    assert 60.0 < state.mean_answer_ms["lookup"] <= 80.0
--- a/tests/cover/test_configuration_on_a_restored_log.py
+++ b/tests/cover/test_configuration_on_a_restored_log.py
@@ -94,7 +94,7 @@
         sequence=0,
         revision=other.revisions.revision,
         log_epoch=other.log.highest,
-        config_digest=revisions.word(other),
+        config_digest=revisions.config_digest(other),
     )
     state.now += revisions.FETCH_EVERY_MS
     sender = str(other.node)
@@ -147,7 +147,7 @@
     for name in ("a", "b"):
         _publish(log, name, "shop", node)
         log.read_by(node)
-    node.revisions.seen.clear()
+    node.revisions.decided_ids.clear()
     log.restore(2)
     log.read_by(node)
     assert node.revisions.revision == 2
--- a/tests/cover/test_decisions_under_load.py
+++ b/tests/cover/test_decisions_under_load.py
@@ -78,7 +78,7 @@
     lost = events.AttemptLost(now=state.now, attempt=first.attempt, reached=False)
     second = builders.only(reducer.reduce(state, lost), effects.OpenAttempt)
     assert second.node != first.node
-    assert second.terms.tokens + state.calls[ids.CallId(1)].tokens == 2
+    assert second.metadata.tokens + state.calls[ids.CallId(1)].tokens == 2
 
 
 @pytest.mark.parametrize("key", ["", "x", "0a2372b7-7814-4000-80d8-2119ba9fd248"])
@@ -142,13 +142,13 @@
     out = reducer.reduce(state, builders.opened(5, terms))
     refusal = builders.only(out, effects.SendRefusal).refusal
     assert refusal.holder == "q1/1"
-    assert not builders.all_of(out, effects.HandOver)
+    assert not builders.all_of(out, effects.DispatchCall)
 
 
 TICKET = f"q1/{int(builders.START)}"
 
 
-def _ticket_terms(holder: str = TICKET) -> messages.CallTerms:
+def _ticket_terms(holder: str = TICKET) -> messages.CallMetadata:
     return builders.call_terms(
         service="porting",
         kind="port-request",
@@ -162,7 +162,7 @@
     state = builders.node_state("q1", service="porting")
     state.streams.clear()
     out = reducer.reduce(state, builders.opened(1, _ticket_terms()))
-    assert builders.only(out, effects.HandOver).hosted == 1
+    assert builders.only(out, effects.DispatchCall).hosted == 1
     assert not builders.all_of(out, effects.Append)
     out = reducer.reduce(state, builders.opened(2, _ticket_terms()))
     # Nothing happens but the line that tells that it waits for the first.
@@ -170,7 +170,7 @@
     done = events.BackendAnswered(now=state.now, hosted=ids.HostedId(1), status=200)
     out = reducer.reduce(state, done)
     assert builders.only(out, effects.SendAnswer).hosted == 1
-    assert builders.only(out, effects.SendKeptAnswer).hosted == 2
+    assert builders.only(out, effects.SendStoredAnswer).hosted == 2
 
 
 def test_a_ticket_of_an_earlier_incarnation_is_unknown() -> None:
@@ -178,13 +178,13 @@
     out = reducer.reduce(state, builders.opened(1, _ticket_terms("q1/1")))
     refusal = builders.only(out, effects.SendRefusal).refusal
     assert refusal.outcome is messages.Outcome.UNKNOWN
-    assert not builders.all_of(out, effects.HandOver)
+    assert not builders.all_of(out, effects.DispatchCall)
 
 
 def test_a_call_that_cannot_finish_in_time_is_not_begun() -> None:
     state = builders.node_state("p1", service="plans")
     state.backend.times["plan-status"] = states.ServiceTime(
-        mean_ms=400.0, measured=builders.START
+        mean_ms=400.0, measured_at=builders.START
     )
     late = builders.call_terms(deadline_ms=300.0)
     out = reducer.reduce(state, builders.opened(1, late))
@@ -198,11 +198,11 @@
     # with nine slots of ten free.
     state = routed.node_state(service="plans", slots=1)
     state.backend.times["plan-status"] = states.ServiceTime(
-        mean_ms=400.0, measured=builders.START
+        mean_ms=400.0, measured_at=builders.START
     )
     late = builders.call_terms(depth=1, deadline_ms=300.0)
     out = reducer.reduce(state, builders.opened(1, late))
-    assert builders.only(out, effects.HandOver).hosted == 1
+    assert builders.only(out, effects.DispatchCall).hosted == 1
     # With no slot free it would take the time of others.
     out = reducer.reduce(state, builders.opened(2, late))
     rule = builders.only(out, effects.SendRefusal).refusal.rule
@@ -212,7 +212,7 @@
 def test_an_estimate_that_nothing_confirms_fades() -> None:
     state = builders.node_state("p1", service="plans")
     state.backend.times["plan-status"] = states.ServiceTime(
-        mean_ms=4_000.0, measured=builders.START
+        mean_ms=4_000.0, measured_at=builders.START
     )
     state.now = builders.START + 20_000
     assert admission.service_time(state, "plan-status") < 10
@@ -223,7 +223,7 @@
     goes before it by its hash."""
     state = routed.node_state(service="plans", slots=1)
     if calls_others:
-        state.children_of["sim-view"] = {("porting", "lookup"): builders.START}
+        state.child_kinds["sim-view"] = {("porting", "lookup"): builders.START}
     reducer.reduce(state, builders.opened(1))
     deeper = builders.call_terms(depth=2, root=1 << 48)
     reducer.reduce(state, builders.opened(2, deeper))
@@ -233,7 +233,7 @@
         now=builders.START, hosted=ids.HostedId(1), status=200
     )
     out = reducer.reduce(state, answer)
-    return int(builders.only(out, effects.HandOver).hosted)
+    return int(builders.only(out, effects.DispatchCall).hosted)
 
 
 def test_a_root_that_calls_nobody_does_not_wait_behind_all_deeper_calls() -> None:
@@ -256,7 +256,7 @@
     assert refused.hosted != 99
     assert refused.refusal.retry_after_ms > 0
     done = events.BackendAnswered(now=state.now, hosted=ids.HostedId(1), status=200)
-    assert builders.only(reducer.reduce(state, done), effects.HandOver).hosted == 99
+    assert builders.only(reducer.reduce(state, done), effects.DispatchCall).hosted == 99
 
 
 @hypothesis.given(
@@ -277,7 +277,9 @@
 
 def test_a_child_of_a_shed_service_does_not_cut_the_parents_limit() -> None:
     state = builders.node_state("p1", service="plans", slots=10)
-    handed = builders.only(reducer.reduce(state, builders.opened(1)), effects.HandOver)
+    handed = builders.only(
+        reducer.reduce(state, builders.opened(1)), effects.DispatchCall
+    )
     reducer.reduce(
         state, builders.arrived(7, service="porting", span=handed.span, now=state.now)
     )
@@ -313,11 +315,11 @@
     state = _entry("p1", "p2", "p3", "p4")
     for name in ("p1", "p2"):
         for _ in range(upstreams.FAILURES_TO_EJECT):
-            upstreams.note_failure(state, ids.NodeId(name))
+            upstreams.record_failure(state, ids.NodeId(name))
     plans = ids.ServiceName("plans")
     assert sorted(upstreams.candidates(state, plans)) == ["p3", "p4"]
     for _ in range(upstreams.FAILURES_TO_EJECT):
-        upstreams.note_failure(state, ids.NodeId("p3"))
+        upstreams.record_failure(state, ids.NodeId("p3"))
     assert len(upstreams.candidates(state, plans)) == 4
 
 
@@ -325,7 +327,7 @@
     state = _entry("p1", "p2")
     high = builders.report(level=ranks.HIGHEST)
     for name in ("p1", "p2"):
-        routing.hear(state, ids.NodeId(name), "plan-status", high)
+        routing.on_load_report(state, ids.NodeId(name), "plan-status", high)
     out = reducer.reduce(state, builders.arrived(1))
     refusal = builders.only(out, effects.RefuseCall)
     assert refusal.outcome is messages.Outcome.NOT_RUN
@@ -336,11 +338,11 @@
 def test_a_level_that_is_not_fresh_is_asked_for() -> None:
     state = _entry("p1")
     high = builders.report(level=ranks.HIGHEST)
-    routing.hear(state, ids.NodeId("p1"), "plan-status", high)
+    routing.on_load_report(state, ids.NodeId("p1"), "plan-status", high)
     later = state.now + routing.ASK_AFTER_MS + 1
     out = reducer.reduce(state, builders.arrived(1, now=later))
-    assert builders.only(out, effects.AskLevel).node == "p1"
-    told = events.LevelTold(
+    assert builders.only(out, effects.RequestLevel).node == "p1"
+    told = events.LevelReported(
         now=later + 1,
         node=ids.NodeId("p1"),
         kind=ids.KindName("plan-status"),
@@ -352,10 +354,10 @@
 
 
 def test_a_silent_level_fades() -> None:
-    heard = states.HeardLevel(level=ranks.HIGHEST, heard=builders.START)
+    heard = states.ReportedLevel(level=ranks.HIGHEST, reported_at=builders.START)
     soon = builders.START + levels.FRESH_MS
-    assert levels.faded(heard, soon) == ranks.HIGHEST
-    assert levels.faded(heard, soon + 3_000) == ranks.LOWEST
+    assert levels.decayed(heard, soon) == ranks.HIGHEST
+    assert levels.decayed(heard, soon + 3_000) == ranks.LOWEST
 
 
 def test_calls_stay_in_the_zone_until_it_is_busier() -> None:
@@ -373,7 +375,7 @@
     # Of two random draws one is the near node three times in four.
     assert share_near() > 0.7
     busy = builders.report(load=9, limit=10)
-    routing.hear(state, ids.NodeId("p1"), "plan-status", busy)
+    routing.on_load_report(state, ids.NodeId("p1"), "plan-status", busy)
     assert share_near() < 0.3
 
 
@@ -396,7 +398,7 @@
     assert share_near() > 0.9
     for node in near:
         busy = builders.report(load=9, limit=10)
-        routing.hear(state, node, "plan-status", busy)
+        routing.on_load_report(state, node, "plan-status", busy)
     assert share_near() < 0.2
 
 
@@ -405,12 +407,12 @@
     members = [builders.member(f"u{n}", "plans") for n in range(30)]
     builders.add_members(state, *members)
     high = builders.report(level=ranks.HIGHEST)
-    routing.hear(state, members[0].node, "plan-status", builders.report())
+    routing.on_load_report(state, members[0].node, "plan-status", builders.report())
     for member in members[1:]:
-        routing.hear(state, member.node, "plan-status", high)
+        routing.on_load_report(state, member.node, "plan-status", high)
     nodes = [member.node for member in members]
     assert routing.choose(state, nodes, "plan-status", ids.Rank(1)) == "u0"
-    routing.hear(state, members[0].node, "plan-status", high)
+    routing.on_load_report(state, members[0].node, "plan-status", high)
     assert routing.choose(state, nodes, "plan-status", ids.Rank(1)) is None
 
 
@@ -455,7 +457,7 @@
                 return max(0, call.tokens)
             self.retries += 1
             attempt = opened[0]
-            held = attempt.terms.tokens
+            held = attempt.metadata.tokens
 
     def _home(self, tokens: int, depth: int) -> int:
         """Play a home node whose backend server makes up to two calls."""
--- a/tests/cover/test_exchanges_that_nobody_waits_for.py
+++ b/tests/cover/test_exchanges_that_nobody_waits_for.py
@@ -40,7 +40,9 @@
 def connection(monkeypatch: pytest.MonkeyPatch) -> _Connection:
     made = _Connection()
 
-    def hand_over(exchange: exchanges.HostedExchange, effect: effects.HandOver) -> None:
+    def hand_over(
+        exchange: exchanges.HostedExchange, effect: effects.DispatchCall
+    ) -> None:
         exchange._connection = made  # type: ignore[assignment]
 
     monkeypatch.setattr(exchanges.HostedExchange, "hand_over", hand_over)
--- a/tests/cover/test_fail_safe.py
+++ b/tests/cover/test_fail_safe.py
@@ -31,7 +31,7 @@
         raise AttributeError("a fault of the program")
 
     with monkeypatch.context() as patch:
-        patch.setattr(upstreams, "note_answer", broken)
+        patch.setattr(upstreams, "record_answer", broken)
         refusal = routed.refused(
             sent.attempt,
             rule=int(decisions.Rule.DEADLINE_PASSED),
--- a/tests/cover/test_freshness.py
+++ b/tests/cover/test_freshness.py
@@ -85,8 +85,8 @@
         records=(),
         oldest=0,
         end=1,
-        asked=asked,
-        held_ms=1_000.0,
+        requested_at=asked,
+        held_open_ms=1_000.0,
     )
     reducer.reduce(state, read)
     assert freshness.age(state) == pytest.approx(10.0)
@@ -94,7 +94,7 @@
 
 def test_a_read_that_did_not_reach_the_end_proves_nothing() -> None:
     state = _node()
-    before = state.freshness.proven
+    before = state.freshness.verified_at
     state.now += 500.0
     read = events.LogRead(
         now=state.now,
@@ -103,10 +103,10 @@
         records=(b"",),
         oldest=0,
         end=7,
-        asked=state.now,
+        requested_at=state.now,
     )
     reducer.reduce(state, read)
-    assert state.freshness.proven == before
+    assert state.freshness.verified_at == before
 
 
 def _newest(state: states.State, version: int, *, epoch: int) -> None:
@@ -117,7 +117,7 @@
         stream=streams.ROUTES,
         records=(messages.encode_record(table),),
         end=version,
-        asked=state.now,
+        requested_at=state.now,
         generation=state.streams[streams.ROUTES].generation,
         epoch=ids.LogEpoch(epoch),
     )
@@ -132,9 +132,9 @@
     state = _node()
     _newest(state, 2, epoch=5)
     state.now += 1_000.0
-    proven = state.freshness.proven
+    proven = state.freshness.verified_at
     _newest(state, 1, epoch=6)
-    assert state.freshness.proven == proven
+    assert state.freshness.verified_at == proven
     state.now += 1_000.0
     _newest(state, 3, epoch=6)
     assert freshness.age(state) == 0.0
@@ -153,15 +153,15 @@
     _newest(state, 2, epoch=5)
     reducer.reduce(state, builders.datagram("home", _word(0, version=3)))
     state.now += 1_000.0
-    proven = state.freshness.proven
+    proven = state.freshness.verified_at
     _newest(state, 2, epoch=6)
-    assert state.freshness.proven == proven
+    assert state.freshness.verified_at == proven
 
 
 def test_an_offset_that_the_log_lacks_proves_nothing() -> None:
     state = _node()
     state.now += 1_000.0
-    proven = state.freshness.proven
+    proven = state.freshness.verified_at
     missing = events.LogRead(
         now=state.now,
         stream=streams.ROUTES,
@@ -169,11 +169,11 @@
         records=(),
         oldest=0,
         end=0,
-        asked=state.now,
+        requested_at=state.now,
         missing=True,
     )
     reducer.reduce(state, missing)
-    assert state.freshness.proven == proven
+    assert state.freshness.verified_at == proven
 
 
 def _asked(state: states.State) -> int:
@@ -193,7 +193,7 @@
         sequence=sequence,
         revision=builders.gossip().revision,
         route_version=version,
-        proven_age_ms=age,
+        verified_age_ms=age,
     )
 
 
@@ -205,7 +205,7 @@
     reducer.reduce(
         state, builders.datagram("home", _word(sequence, age=300.0), now=state.now)
     )
-    assert state.freshness.proven - asked == pytest.approx(-300.0)
+    assert state.freshness.verified_at - asked == pytest.approx(-300.0)
 
 
 @pytest.mark.parametrize("word", [{"version": 2}, {"age": -1.0}])
@@ -213,16 +213,16 @@
     word: dict[str, float],
 ) -> None:
     state = _node()
-    before = state.freshness.proven
+    before = state.freshness.verified_at
     sequence = _asked(state)
     told = _word(sequence, **word)  # type: ignore[arg-type]
     reducer.reduce(state, builders.datagram("home", told, now=state.now))
-    assert state.freshness.proven == before
+    assert state.freshness.verified_at == before
 
 
 def test_a_word_that_nobody_asked_for_proves_nothing() -> None:
     state = _node()
-    before = state.freshness.proven
+    before = state.freshness.verified_at
     state.now += 1_000.0
     unasked = _word(123_456)
     reducer.reduce(state, builders.datagram("home", unasked, now=state.now))
@@ -231,10 +231,10 @@
         sequence=5,
         revision=builders.gossip().revision,
         route_version=1,
-        proven_age_ms=0.0,
+        verified_age_ms=0.0,
     )
     reducer.reduce(state, builders.datagram("home", ping, now=state.now))
-    assert state.freshness.proven == before
+    assert state.freshness.verified_at == before
 
 
 def test_a_node_that_wakes_with_requests_waiting_lets_none_of_them_in() -> None:
@@ -292,7 +292,7 @@
         made.run(50.0)
         for node in made.nodes.values():
             if node.alive and made.now >= node.paused_until:
-                worst = max(worst, made.now - node.state.freshness.proven)
+                worst = max(worst, made.now - node.state.freshness.verified_at)
     return worst
 
 
@@ -333,7 +333,7 @@
 
 def test_when_all_heads_are_refused_by_the_log_the_others_read_it() -> None:
     made = _deployment(15)
-    heads = {n.name for n in made.nodes.values() if member_order.is_head(n.state)}
+    heads = {n.name for n in made.nodes.values() if member_order.is_zone_first(n.state)}
     assert len(heads) == 3
     made.log.refuses = heads
     assert _worst(made, 10_000.0) < ALLOWED_MS
--- a/tests/cover/test_gaps_in_the_log.py
+++ b/tests/cover/test_gaps_in_the_log.py
@@ -10,7 +10,7 @@
     out: list[effects.Effect] = []
     streams.follow(state, "claims.porting", out, keyed=keyed)
     stream = state.streams["claims.porting"]
-    stream.based = keyed
+    stream.base_read = keyed
     assert not streams.advance(state, stream, out, first=0, count=10, end=10)
     state.now += 5_000.0
     return state, stream
@@ -35,7 +35,7 @@
     streams.advance(state, stream, [], first=14, count=1, end=15)
     out: list[effects.Effect] = []
     state.now = stream.retry_at
-    streams.resume(state, out)
+    streams.retry_due(state, out)
     assert builders.only(out, effects.ReadNewest).stream == "claims.porting"
 
 
@@ -67,7 +67,7 @@
     )
     out: list[effects.Effect] = []
     for _ in range(3):
-        streams.note_missing(stream, refused, out)
+        streams.record_missing(stream, refused, out)
     assert stream.missing_total == 3
     line = builders.only(out, effects.WriteLog)
     assert line.text == (
--- a/tests/cover/test_keyed_members.py
+++ b/tests/cover/test_keyed_members.py
@@ -174,7 +174,7 @@
 
 def test_a_start_with_a_clock_set_back_outdoes_its_earlier_incarnation() -> None:
     state = routed.node_state()
-    me = state.membership.me
+    me = state.membership.self_member
     assert me is not None
     earlier = messages.Member(
         *(
@@ -183,5 +183,5 @@
         )
     )
     builders.add_members(state, builders.member("n2", "plans"), earlier)
-    assert state.membership.me is not None
-    assert state.membership.me.incarnation > earlier.incarnation
+    assert state.membership.self_member is not None
+    assert state.membership.self_member.incarnation > earlier.incarnation
--- a/tests/cover/test_knee.py
+++ b/tests/cover/test_knee.py
@@ -3,7 +3,7 @@
 import random
 
 from gingerturn.internal import ids
-from gingerturn.internal.core import events, knee, reducer, state as states
+from gingerturn.internal.core import events, reducer, saturation, state as states
 from tests.common import builders, routed
 
 SLOTS = 20
@@ -20,7 +20,7 @@
         for taken in range(1, level + 1):
             number += 1
             reducer.reduce(state, builders.opened(number, now=state.now))
-            factor = slowdown if taken >= knee.NEARLY_FULL * SLOTS else 1.0
+            factor = slowdown if taken >= saturation.NEARLY_FULL * SLOTS else 1.0
             running.append((rng.uniform(50, 150) * factor, number))
         begun = state.now
         for elapsed, hosted in sorted(running):
@@ -33,27 +33,29 @@
 
 def test_the_last_slots_are_left_free_where_they_slow_the_others() -> None:
     state = _play(1.5)
-    assert knee.usable_slots(state) == 18
+    assert saturation.usable_slots(state) == 18
 
 
 def test_every_slot_is_used_where_nothing_slows_down() -> None:
-    assert all(knee.usable_slots(_play(1.0, seed=seed)) == SLOTS for seed in range(5))
+    assert all(
+        saturation.usable_slots(_play(1.0, seed=seed)) == SLOTS for seed in range(5)
+    )
 
 
 def test_the_slots_are_tried_again_later() -> None:
     state = _play(1.5)
-    state.now += knee.HOLD_MS + 1
-    assert knee.usable_slots(state) == SLOTS
+    state.now += saturation.HOLD_MS + 1
+    assert saturation.usable_slots(state) == SLOTS
 
 
 def test_calls_that_call_others_tell_nothing() -> None:
     state = routed.node_state(service="plans", slots=SLOTS)
-    state.children_of["plan-status"] = {("below", "x"): state.now}
+    state.child_kinds["plan-status"] = {("below", "x"): state.now}
     reducer.reduce(state, builders.opened(1))
     hosted = state.hosted[ids.HostedId(1)]
     hosted.occupancy = 0.5
-    knee.note(state, hosted, 500.0)
-    assert state.backend.knee.roomy == {}
+    saturation.record_time(state, hosted, 500.0)
+    assert state.backend.saturation.unsaturated == {}
 
 
 def _fill(
@@ -76,27 +78,27 @@
     # No call finds room any more by then: what the kind takes is known from before.
     state = routed.node_state(service="plans", slots=SLOTS)
     _fill(state, calls=60, busy=8, work_ms=50.0, first=1)
-    _fill(state, calls=knee.ENOUGH, busy=SLOTS, work_ms=65.0, first=100)
-    assert knee.usable_slots(state) < SLOTS
+    _fill(state, calls=saturation.ENOUGH, busy=SLOTS, work_ms=65.0, first=100)
+    assert saturation.usable_slots(state) < SLOTS
 
 
 def test_slots_are_used_again_where_leaving_them_free_makes_nothing_faster() -> None:
     # The backend server turned slow for another reason, while it was full.
     state = routed.node_state(service="plans", slots=SLOTS)
     _fill(state, calls=60, busy=8, work_ms=50.0, first=1)
-    _fill(state, calls=knee.ENOUGH, busy=SLOTS, work_ms=200.0, first=100)
-    held = knee.usable_slots(state)
+    _fill(state, calls=saturation.ENOUGH, busy=SLOTS, work_ms=200.0, first=100)
+    held = saturation.usable_slots(state)
     assert held < SLOTS
-    _fill(state, calls=knee.ENOUGH, busy=held, work_ms=200.0, first=200)
-    assert knee.usable_slots(state) == SLOTS
-    _fill(state, calls=knee.ENOUGH, busy=SLOTS, work_ms=200.0, first=300)
-    assert knee.usable_slots(state) == SLOTS
+    _fill(state, calls=saturation.ENOUGH, busy=held, work_ms=200.0, first=200)
+    assert saturation.usable_slots(state) == SLOTS
+    _fill(state, calls=saturation.ENOUGH, busy=SLOTS, work_ms=200.0, first=300)
+    assert saturation.usable_slots(state) == SLOTS
 
 
 def test_the_slots_stay_free_while_that_makes_calls_faster() -> None:
     state = routed.node_state(service="plans", slots=SLOTS)
     _fill(state, calls=60, busy=8, work_ms=50.0, first=1)
-    _fill(state, calls=knee.ENOUGH, busy=SLOTS, work_ms=65.0, first=100)
-    held = knee.usable_slots(state)
-    _fill(state, calls=2 * knee.ENOUGH, busy=held, work_ms=50.0, first=200)
-    assert knee.usable_slots(state) == held
+    _fill(state, calls=saturation.ENOUGH, busy=SLOTS, work_ms=65.0, first=100)
+    held = saturation.usable_slots(state)
+    _fill(state, calls=2 * saturation.ENOUGH, busy=held, work_ms=50.0, first=200)
+    assert saturation.usable_slots(state) == held
--- a/tests/cover/test_levels_at_size.py
+++ b/tests/cover/test_levels_at_size.py
@@ -43,8 +43,8 @@
 
 
 def _hear(state: states.State, number: int, report: messages.LoadReport) -> None:
-    routing.hear(state, ids.NodeId(f"u{number}"), "lookup", report)
-    slot_costs.hear(state.costs, "lookup", report)
+    routing.on_load_report(state, ids.NodeId(f"u{number}"), "lookup", report)
+    slot_costs.on_report(state.costs, "lookup", report)
 
 
 def _refused(state: states.State, call: int) -> bool:
@@ -80,7 +80,7 @@
     _hear(state, 0, builders.report(level=HIGH))
     for number in range(1, 10):
         _hear(state, number, builders.report(level=ids.Rank(1_000)))
-    assert levels.own(state, PLANS).level == 1_000
+    assert levels.own_level(state, PLANS).level == 1_000
 
 
 def test_the_median_follows_what_was_told_last() -> None:
@@ -89,8 +89,8 @@
         _hear(state, number, builders.report(tree_level=ids.Rank(1_000)))
     state.now += levels.FRESH_MS + 1.0
     _hear(state, 7, builders.report(tree_level=ids.Rank(400)))
-    known = levels.of_service(state, PLANS, "lookup")
-    assert (known.level, known.heard) == (400, state.now)
+    known = levels.expected_level(state, PLANS, "lookup")
+    assert (known.level, known.reported_at) == (400, state.now)
 
 
 def _word(level: int, *, age_ms: float) -> messages.LoadReport:
@@ -99,10 +99,10 @@
         tree_level=ranks.LOWEST,
         load=1,
         limit=10,
-        scarce=SCARCE,
-        slot_ms=56.0,
-        scarce_level=ids.Rank(level),
-        scarce_age_ms=age_ms,
+        bottleneck=SCARCE,
+        bottleneck_slot_ms=56.0,
+        bottleneck_level=ids.Rank(level),
+        bottleneck_age_ms=age_ms,
     )
 
 
@@ -120,15 +120,15 @@
 def test_a_node_passes_the_word_on_with_its_age() -> None:
     state = routed.node_state(routed.route(), service="porting")
     builders.add_members(state, builders.member("u0", "plans"))
-    state.costs.told["lookup"] = states.TreeCost(SCARCE, 56.0)
+    state.costs.reported["lookup"] = states.TreeCost(SCARCE, 56.0)
     state.costs.fanouts["port"] = states.Fanout(
         1.0, {(PLANS, ids.KindName("lookup")): 1.0}
     )
     _hear(state, 0, _word(70_000, age_ms=50.0))
     state.now += 100.0
-    report = admission.report(state, "port")
-    assert report.scarce == SCARCE
-    assert (report.scarce_level, report.scarce_age_ms) == (70_000, 150.0)
+    report = admission.load_report(state, "port")
+    assert report.bottleneck == SCARCE
+    assert (report.bottleneck_level, report.bottleneck_age_ms) == (70_000, 150.0)
 
 
 def test_a_refusal_tells_how_old_the_word_was_that_decided_it() -> None:
@@ -139,7 +139,7 @@
     line = builders.only(out, effects.LogDecision)
     level, age_ms, _ = line.figures
     assert (level, age_ms) == (HIGH, 100.0)
-    named = decisions.named(decisions.Rule(line.rule), line.figures)
+    named = decisions.named_figures(decisions.Rule(line.rule), line.figures)
     assert named["age in ms of that word"] == 100.0
 
 
@@ -148,7 +148,7 @@
     _refused(state, 1)
     _hear(state, 0, _word(0, age_ms=70.0))
     _refused(state, 2)
-    assert state.level_ages == [0, 1, 0, 0, 0, 0, 1]
+    assert state.level_age_counts == [0, 1, 0, 0, 0, 0, 1]
 
 
 def test_a_word_fades_like_a_level() -> None:
@@ -177,7 +177,7 @@
     )
     reducer.reduce(state, builders.datagram(ids.NodeId("u1"), suspect, now=state.now))
     asked: list[str] = []
-    original = upstreams.is_silent
+    original = upstreams.is_unresponsive
 
     def is_silent(state: states.State, node: ids.NodeId) -> bool:
         asked.append(node)
@@ -196,7 +196,7 @@
     window = state.backend.windows[-1]
     low = 5 << ranks.CLASS_SHIFT
     window.ranks = [ids.Rank(low + n) for n in range(100)]
-    window.handed = 60
+    window.dispatched = 60
     level = level_control._raised(state.backend, level_control.ROUTED_OVERAGE)
     assert low < level < low + 40
 
--- a/tests/cover/test_logs.py
+++ b/tests/cover/test_logs.py
@@ -133,7 +133,7 @@
     sent = routed.sent_to(reducer.reduce(entry, routed.arrived(1, request="r1")))
     home = routed.node_state(name="n2", service="plans")
     reducer.reduce(home, events.BackendWithdrawn(now=home.now, instance="i-1"))
-    at_home = reducer.reduce(home, builders.opened(9, sent.terms))
+    at_home = reducer.reduce(home, builders.opened(9, sent.metadata))
     refusal = builders.only(at_home, effects.SendRefusal)
     at_entry = reducer.reduce(
         entry,
--- a/tests/cover/test_membership.py
+++ b/tests/cover/test_membership.py
@@ -109,7 +109,7 @@
 
 def test_a_node_refutes_what_is_said_of_it() -> None:
     state = builders.node_state("n1")
-    me = state.membership.me
+    me = state.membership.self_member
     assert me is not None
     rumour = messages.Member(**{**_fields(me), "state": STATES.SUSPECT})
     builders.add_members(state, builders.member("p1", "plans"))
--- a/tests/cover/test_order_by_cost.py
+++ b/tests/cover/test_order_by_cost.py
@@ -30,8 +30,8 @@
 def _costs(**slot_ms: float) -> states.Costs:
     costs = states.Costs()
     for kind, cost in slot_ms.items():
-        costs.told[kind] = states.TreeCost(ids.ServiceName("tracker"), cost)
-        costs.roots[kind] = 5
+        costs.reported[kind] = states.TreeCost(ids.ServiceName("tracker"), cost)
+        costs.root_importance[kind] = 5
     return costs
 
 
@@ -55,10 +55,10 @@
 
 def test_kinds_of_another_priority_or_another_scarce_service_move_nobody() -> None:
     costs = _costs(listing=120.0, status=480.0)
-    costs.roots[CHEAP] = 7
+    costs.root_importance[CHEAP] = 7
     assert slot_costs.ordered(costs, DEAR, 5, 1 << 63) == 1 << 63
     costs = _costs(listing=120.0, status=480.0)
-    costs.told[CHEAP].service = ids.ServiceName("calendar")
+    costs.reported[CHEAP].service = ids.ServiceName("calendar")
     assert slot_costs.ordered(costs, DEAR, 5, 1 << 63) == 1 << 63
 
 
@@ -93,9 +93,9 @@
 def test_the_counts_of_runs_and_calls_stay_bounded() -> None:
     costs = states.Costs()
     for _ in range(10_000):
-        slot_costs.note_run(costs, "top")
+        slot_costs.record_run(costs, "top")
         for _ in range(3):
-            slot_costs.note_call(
+            slot_costs.record_child_call(
                 costs, "top", ids.ServiceName("s"), ids.KindName("below")
             )
     fanout = costs.fanouts["top"]
@@ -109,11 +109,11 @@
     sent = routed.sent_to(reducer.reduce(state, routed.arrived(1)))
     told = builders.report(scarce="tracker", slot_ms=30.0)
     reducer.reduce(state, builders.answered(sent.attempt, told=told, now=state.now))
-    assert "top" in state.costs.told
-    assert "top" in state.answer_ms
+    assert "top" in state.costs.reported
+    assert "top" in state.mean_answer_ms
     table = routed.table(routed.route("other"), version=2)
     reducer.reduce(state, events.RoutesReceived(now=state.now, table=table))
-    kept = (state.traffic, state.answer_ms, *slot_costs.by_kind(state.costs))
+    kept = (state.traffic, state.mean_answer_ms, *slot_costs.by_kind(state.costs))
     assert not any(kept)
 
 
@@ -121,9 +121,9 @@
     state = routed.node_state(routed.route(DEAR, priority=5))
     builders.add_members(state, builders.member("n2", "plans"))
     state.costs = _costs(listing=10.0, status=1_000.0)
-    state.costs.roots = dict.fromkeys(state.costs.roots, 2)
+    state.costs.root_importance = dict.fromkeys(state.costs.root_importance, 2)
     sent = [
-        routed.sent_to(reducer.reduce(state, routed.arrived(n))).terms
+        routed.sent_to(reducer.reduce(state, routed.arrived(n))).metadata
         for n in range(2_000)
     ]
     spared = [terms for terms in sent if terms.importance == TOP]
--- a/tests/cover/test_pollers.py
+++ b/tests/cover/test_pollers.py
@@ -43,7 +43,7 @@
     found = []
     for member in members:
         state = _node(member.node, *members, *_members(20, zone="b"))
-        if pollers.waits(state, state.now):
+        if pollers.is_poller(state, state.now):
             found.append(str(member.node))
     return found
 
@@ -64,7 +64,7 @@
         state = _node(member.node, *members)
         if member.node != first[0]:
             builders.add_members(state, messages.Member(**fields))
-        if pollers.waits(state, state.now):
+        if pollers.is_poller(state, state.now):
             now_waiting.append(str(member.node))
     assert len(set(now_waiting) - {first[0]}) == 2
 
@@ -73,8 +73,8 @@
     members = _members(10)
     name = next(str(m.node) for m in members if m.node not in _waiting(10))
     state = _node(name, *members)
-    assert not pollers.waits(state, state.now)
-    assert pollers.waits(state, state.now + pollers.ALONE_MS + 1.0)
+    assert not pollers.is_poller(state, state.now)
+    assert pollers.is_poller(state, state.now + pollers.ALONE_MS + 1.0)
 
 
 def test_a_node_that_need_not_wait_makes_no_further_read() -> None:
@@ -160,4 +160,4 @@
     members = _members(10)
     one = _node("a3", *members)
     other = _node("a3", *reversed(members))
-    assert pollers.waits(one, one.now) == pollers.waits(other, other.now)
+    assert pollers.is_poller(one, one.now) == pollers.is_poller(other, other.now)
--- a/tests/cover/test_quarantine.py
+++ b/tests/cover/test_quarantine.py
@@ -8,14 +8,14 @@
 from gingerturn import routes
 from gingerturn.internal import ids
 from gingerturn.internal.core import (
-    backend_ends,
-    blame,
+    backend_crashes,
+    crash_attribution,
     decisions,
     effects,
     events,
     messages,
     quarantine,
-    quarantine_news,
+    quarantine_gossip,
     quarantine_table,
     reducer,
     state as states,
@@ -30,8 +30,8 @@
 
 def _end(
     *requests: int, node: str = "h1", number: int = 1, part: int = 0, age: float = 0.0
-) -> messages.BackendEnd:
-    return messages.BackendEnd(
+) -> messages.BackendCrash:
+    return messages.BackendCrash(
         node=ids.NodeId(node),
         incarnation=ids.Incarnation(1),
         number=number,
@@ -42,16 +42,16 @@
 
 
 def _word(ends: int, *, request: int = DEADLY, age: float = 0.0) -> object:
-    return messages.QuarantineWord(request=request, ends=ends, age_ms=age)
+    return messages.QuarantineUpdate(request=request, crash_count=ends, age_ms=age)
 
 
 def hear(
     state: states.State, *news: object, digest: int = 0, sender: str = "h1"
 ) -> list[effects.Effect]:
     """Let a node hear of ends and of words on requests."""
-    told = messages.QuarantineNews(
-        ends=tuple(n for n in news if isinstance(n, messages.BackendEnd)),
-        words=tuple(n for n in news if isinstance(n, messages.QuarantineWord)),
+    told = messages.QuarantineGossip(
+        crashes=tuple(n for n in news if isinstance(n, messages.BackendCrash)),
+        updates=tuple(n for n in news if isinstance(n, messages.QuarantineUpdate)),
         digest=digest,
     )
     message = messages.Gossip(
@@ -100,7 +100,7 @@
         _opens(state, number, request)
     for number in hosted:
         event = events.BackendFailed(
-            now=state.now, hosted=ids.HostedId(number), handed=True
+            now=state.now, hosted=ids.HostedId(number), dispatched=True
         )
         reducer.reduce(state, event)
     out = reducer.reduce(state, events.BackendChecked(now=state.now, refused=True))
@@ -111,7 +111,7 @@
 
 def kept_out(state: states.State) -> set[int]:
     """Return what a node keeps out."""
-    return set(state.quarantine.kept_out)
+    return set(state.quarantine.quarantined)
 
 
 # What is to blame.
@@ -160,13 +160,13 @@
 ) -> None:
     state = _entry()
     others = st.lists(st.sampled_from(OTHERS), max_size=12, unique=True)
-    count = data.draw(st.integers(blame.ENDS_TO_KEEP_OUT, 12))
+    count = data.draw(st.integers(crash_attribution.CRASHES_TO_QUARANTINE, 12))
     for number in range(count):
         end = _end(DEADLY, *data.draw(others), node=f"h{number}")
         hear(state, end)
     assert DEADLY in kept_out(state)
     # All that is kept out explains as many ends as the deadly one.
-    assert {w.ends for w in state.quarantine.kept_out.values()} == {count}
+    assert {w.crash_count for w in state.quarantine.quarantined.values()} == {count}
 
 
 def test_several_deadly_requests_are_kept_out_each() -> None:
@@ -205,10 +205,10 @@
     assert kept_out(state) == set()
 
 
-def _told_ends(home: states.State, *, node: str) -> list[messages.BackendEnd]:
+def _told_ends(home: states.State, *, node: str) -> list[messages.BackendCrash]:
     return [
-        _end(*end.requests, node=node, number=end.end.number)
-        for end in home.quarantine.ends.values()
+        _end(*end.requests, node=node, number=end.crash.number)
+        for end in home.quarantine.crashes.values()
     ]
 
 
@@ -230,23 +230,23 @@
     for number in range(1, 6):
         _opens(home, number, DEADLY)
         event = events.BackendFailed(
-            now=home.now, hosted=ids.HostedId(number), handed=True
+            now=home.now, hosted=ids.HostedId(number), dispatched=True
         )
         reducer.reduce(home, event)
         out = reducer.reduce(home, events.BackendChecked(now=home.now, refused=False))
         refusal = builders.only(out, effects.SendRefusal).refusal
         assert refusal.rule == decisions.Rule.OUTCOME_UNKNOWN
-    assert not home.quarantine.ends
+    assert not home.quarantine.crashes
 
 
 def test_the_end_of_a_backend_server_that_leaves_is_held_against_nothing() -> None:
     home = _home()
     _opens(home, 1, DEADLY)
     reducer.reduce(home, events.BackendWithdrawn(now=home.now, instance="i-1"))
-    failed = events.BackendFailed(now=home.now, hosted=ids.HostedId(1), handed=True)
+    failed = events.BackendFailed(now=home.now, hosted=ids.HostedId(1), dispatched=True)
     reducer.reduce(home, failed)
     reducer.reduce(home, events.BackendChecked(now=home.now, refused=True))
-    assert not home.quarantine.ends
+    assert not home.quarantine.crashes
 
 
 def test_a_request_that_is_kept_out_by_mistake_is_tried_and_cleared() -> None:
@@ -257,13 +257,13 @@
     assert refused.outcome is messages.Outcome.NOT_RUN
     builders.passed(home, quarantine.TRIAL_PAUSE_MS + 20.0)
     reducer.reduce(home, routed.announced(sequence=2, now=home.now))
-    assert builders.all_of(_opens(home, 2, DEADLY), effects.HandOver)
+    assert builders.all_of(_opens(home, 2, DEADLY), effects.DispatchCall)
     # One at a time: what comes meanwhile waits for what the trial tells.
-    assert not builders.all_of(_opens(home, 3, DEADLY), effects.HandOver)
+    assert not builders.all_of(_opens(home, 3, DEADLY), effects.DispatchCall)
     answered = events.BackendAnswered(now=home.now, hosted=ids.HostedId(2), status=200)
     reducer.reduce(home, answered)
     assert kept_out(home) == set()
-    assert builders.all_of(_opens(home, 4, DEADLY), effects.HandOver)
+    assert builders.all_of(_opens(home, 4, DEADLY), effects.DispatchCall)
 
 
 def test_a_trial_that_ends_the_backend_server_makes_the_pause_longer() -> None:
@@ -355,7 +355,7 @@
     hear(home, *(_end(DEADLY, node=node) for node in ("h1", "h2", "h3")))
     answered = events.BackendAnswered(now=home.now, hosted=ids.HostedId(1), status=200)
     out = reducer.reduce(home, answered)
-    assert not builders.all_of(out, effects.HandOver)
+    assert not builders.all_of(out, effects.DispatchCall)
     refusal = builders.only(out, effects.SendRefusal).refusal
     assert refusal.outcome is messages.Outcome.NOT_RUN
 
@@ -368,7 +368,7 @@
         now=home.now, hosted=ids.HostedId(1), status=200, whole=False
     )
     reducer.reduce(home, begun)
-    failed = events.BackendFailed(now=home.now, hosted=ids.HostedId(1), handed=True)
+    failed = events.BackendFailed(now=home.now, hosted=ids.HostedId(1), dispatched=True)
     reducer.reduce(home, failed)
     reducer.reduce(home, events.BackendChecked(now=home.now, refused=True))
     assert kept_out(home) == {DEADLY}
@@ -381,22 +381,22 @@
     reducer.reduce(home, events.BackendAnnounced(**{**fields, "started_ms": 1_000}))
     _opens(home, 1, DEADLY)
     reducer.reduce(home, events.BackendAnnounced(**{**fields, "started_ms": 2_000}))
-    assert [end.requests for end in home.quarantine.ends.values()] == [(DEADLY,)]
+    assert [end.requests for end in home.quarantine.crashes.values()] == [(DEADLY,)]
 
 
 def _broken_then(home: states.State, *, answered: bool) -> list[tuple[int, ...]]:
     """Let a connection break though a new one opens, and another start follow."""
     _opens(home, 1, DEADLY)
     _opens(home, 2, OTHERS[0])
-    failed = events.BackendFailed(now=home.now, hosted=ids.HostedId(1), handed=True)
+    failed = events.BackendFailed(now=home.now, hosted=ids.HostedId(1), dispatched=True)
     reducer.reduce(home, failed)
     reducer.reduce(home, events.BackendChecked(now=home.now, refused=False))
     if answered:
-        now = home.now + backend_ends.TOGETHER_MS + 1.0
+        now = home.now + backend_crashes.TOGETHER_MS + 1.0
         event = events.BackendAnswered(now=now, hosted=ids.HostedId(2), status=200)
         reducer.reduce(home, event)
     reducer.reduce(home, routed.announced(instance="i-2", now=home.now + 1_000.0))
-    return [end.requests for end in home.quarantine.ends.values()]
+    return [end.requests for end in home.quarantine.crashes.values()]
 
 
 def test_an_end_that_something_in_between_hides_shows_by_the_next_start() -> None:
@@ -409,7 +409,7 @@
         _opens(home, number, request)
     for number in (1, 3):
         event = events.BackendFailed(
-            now=home.now, hosted=ids.HostedId(number), handed=True
+            now=home.now, hosted=ids.HostedId(number), dispatched=True
         )
         reducer.reduce(home, event)
         answered = events.BackendAnswered(
@@ -417,7 +417,7 @@
         )
         reducer.reduce(home, answered)
     reducer.reduce(home, events.BackendChecked(now=home.now, refused=True))
-    (end,) = home.quarantine.ends.values()
+    (end,) = home.quarantine.crashes.values()
     assert end.requests == (DEADLY, OTHERS[1])
 
 
@@ -426,13 +426,13 @@
     for number, request in enumerate([DEADLY, *OTHERS[:3]], 1):
         _opens(home, number, request)
         event = events.BackendFailed(
-            now=home.now, hosted=ids.HostedId(number), handed=True
+            now=home.now, hosted=ids.HostedId(number), dispatched=True
         )
         reducer.reduce(home, event)
         reducer.reduce(home, events.BackendChecked(now=home.now, refused=False))
         home.now += 300.0
     reducer.reduce(home, routed.announced(instance="i-2", now=home.now))
-    (end,) = home.quarantine.ends.values()
+    (end,) = home.quarantine.crashes.values()
     assert DEADLY in end.requests
 
 
@@ -445,7 +445,7 @@
     _opens(home, 1, DEADLY)
     reducer.reduce(home, events.BackendWithdrawn(now=home.now, instance="i-1"))
     reducer.reduce(home, routed.announced(instance="i-2", now=home.now))
-    assert not home.quarantine.ends
+    assert not home.quarantine.crashes
 
 
 # How it spreads and how long it lasts.
@@ -456,10 +456,10 @@
     hear(informed, *(_end(DEADLY, node=node) for node in ("h1", "h2", "h3")))
     for _ in range(200):
         # The news has gone round, without the late node.
-        quarantine_news.news(informed)
-    informed.now += quarantine_news.TELL_AGAIN_MS
+        quarantine_gossip.outgoing(informed)
+    informed.now += quarantine_gossip.TELL_AGAIN_MS
     hear(informed, digest=late.quarantine.digest)
-    told = quarantine_news.news(informed)
+    told = quarantine_gossip.outgoing(informed)
     message = messages.Gossip(
         kind=messages.GossipKind.ACK,
         sequence=0,
@@ -471,9 +471,9 @@
     assert late.quarantine.digest == informed.quarantine.digest
 
 
-def _pushed(out: list[effects.Effect]) -> list[messages.BackendEnd]:
+def _pushed(out: list[effects.Effect]) -> list[messages.BackendCrash]:
     sent = builders.all_of(out, effects.SendGossip)
-    return [end for effect in sent for end in effect.message.quarantine.ends]
+    return [end for effect in sent for end in effect.message.quarantine.crashes]
 
 
 def test_ends_with_a_request_in_common_are_passed_on_at_once() -> None:
@@ -495,7 +495,7 @@
     out = _ends_under(home, 1, DEADLY)
     put = builders.only(out, effects.PutRecord)
     started = routed.node_state()
-    join = started.membership.join_put
+    join = started.membership.join_put_number
     reducer.reduce(started, events.PutDone(now=started.now, put=join))
     read = events.NewestRead(
         now=started.now, stream=streams.MEMBERS, records=(put.record,), end=1
@@ -577,11 +577,11 @@
     state = routed.node_state()
     hear(state, *(_end(DEADLY, node=node) for node in ("h1", "h2", "h3")))
     hear(state, _end(OTHERS[0], node="h4"))
-    state.now += quarantine_news.KEPT_MS
+    state.now += quarantine_gossip.KEPT_MS
     builders.passed(state, 2_000.0)
-    assert not state.quarantine.ends
+    assert not state.quarantine.crashes
     assert kept_out(state) == {DEADLY}
-    state.now += quarantine_news.FORGOTTEN_MS
+    state.now += quarantine_gossip.FORGOTTEN_MS
     out = builders.passed(state, 2_000.0)
     assert kept_out(state) == set()
     # Of the nodes that are left one takes it off the log.
@@ -590,22 +590,22 @@
 
 def test_a_table_that_fills_up_drops_the_oldest() -> None:
     state = _entry()
-    for request in range(1, quarantine_table.MAX_KEPT_OUT + 50):
+    for request in range(1, quarantine_table.MAX_QUARANTINED + 50):
         state.now += 1.0
         hear(state, _word(3, request=request))
     known = state.quarantine
-    assert len(known.kept_out) == quarantine_table.MAX_KEPT_OUT
-    assert 1 not in known.kept_out
-    for number in range(quarantine_table.MAX_ENDS + 20):
+    assert len(known.quarantined) == quarantine_table.MAX_QUARANTINED
+    assert 1 not in known.quarantined
+    for number in range(quarantine_table.MAX_CRASHES + 20):
         hear(state, _end(1_000 + number, node="h9", number=number))
-    assert len(known.ends) == quarantine_table.MAX_ENDS
+    assert len(known.crashes) == quarantine_table.MAX_CRASHES
 
 
 def test_more_requests_than_one_message_takes_travel_in_parts() -> None:
     count = quarantine.REQUESTS_AN_END + 5
     home = _home(slots=count)
     _ends_under(home, 1, *range(1, count + 1))
-    sizes = sorted(len(end.requests) for end in home.quarantine.ends.values())
+    sizes = sorted(len(end.requests) for end in home.quarantine.crashes.values())
     assert sizes == [5, quarantine.REQUESTS_AN_END]
 
 
@@ -614,16 +614,16 @@
     _ends_under(home, 1, *range(1 << 47, (1 << 47) + 64))
     members = tuple(builders.member(f"service-{n}-node-{n}", "s") for n in range(5))
     words = tuple(
-        messages.QuarantineWord((1 << 47) + n, 3, 1e9)
-        for n in range(quarantine_news.WORDS_A_MESSAGE)
+        messages.QuarantineUpdate((1 << 47) + n, 3, 1e9)
+        for n in range(quarantine_gossip.WORDS_A_MESSAGE)
     )
-    told = quarantine_news.news(home)
+    told = quarantine_gossip.outgoing(home)
     message = messages.Gossip(
         kind=messages.GossipKind.PING,
         sequence=1 << 31,
         revision=ids.Revision(1 << 40),
         members=members,
-        quarantine=messages.QuarantineNews(told.ends, words, 1 << 31),
+        quarantine=messages.QuarantineGossip(told.crashes, words, 1 << 31),
     )
     datagram = datagrams.encode(b"a secret of the tests", home.node, 5.0, message)
     assert len(datagram) < 1_200
--- a/tests/cover/test_reducer_properties.py
+++ b/tests/cover/test_reducer_properties.py
@@ -63,10 +63,10 @@
     slots=st.integers(0, 20),
 )
 QUARANTINE_NEWS = st.builds(
-    messages.QuarantineNews,
+    messages.QuarantineGossip,
     ends=st.lists(
         st.builds(
-            messages.BackendEnd,
+            messages.BackendCrash,
             node=st.sampled_from(["n2", "n3"]),
             incarnation=st.integers(1, 2),
             number=st.integers(1, 3),
@@ -78,7 +78,7 @@
     ).map(tuple),
     words=st.lists(
         st.builds(
-            messages.QuarantineWord,
+            messages.QuarantineUpdate,
             request=st.integers(1, 3),
             ends=st.integers(0, 4),
             age_ms=st.integers(0, 100).map(float),
@@ -95,7 +95,7 @@
     members=st.lists(MEMBERS, max_size=3).map(tuple),
     target=st.sampled_from(["", "n2"]),
     cursor=st.sampled_from(["", "n1"]),
-    quarantine=st.one_of(st.just(messages.NO_QUARANTINE_NEWS), QUARANTINE_NEWS),
+    quarantine=st.one_of(st.just(messages.NO_QUARANTINE_GOSSIP), QUARANTINE_NEWS),
 )
 RECORDS = st.one_of(
     st.binary(max_size=20),
@@ -263,7 +263,10 @@
     assert all(h.tokens >= 0 for h in state.hosted.values())
     assert all(u.outstanding >= 0 for u in state.upstreams.values())
     known = state.quarantine
-    assert all(known.kept_out[r].at > known.cleared.get(r, 0.0) for r in known.kept_out)
+    assert all(
+        known.quarantined[r].last_crash_at > known.cleared_at.get(r, 0.0)
+        for r in known.quarantined
+    )
     for nodes in state.membership.by_service.values():
         assert len(nodes) == len(set(nodes))
 
@@ -276,10 +279,10 @@
     for effect in (effect for group in out for effect in group):
         if isinstance(effect, effects.RelayAnswer | effects.RefuseCall):
             counts[(effects.RefuseCall, effect.call)] += 1
-        elif isinstance(effect, effects.HandOver):
-            counts[(effects.HandOver, effect.hosted)] += 1
+        elif isinstance(effect, effects.DispatchCall):
+            counts[(effects.DispatchCall, effect.hosted)] += 1
         elif isinstance(
-            effect, effects.SendAnswer | effects.SendRefusal | effects.SendKeptAnswer
+            effect, effects.SendAnswer | effects.SendRefusal | effects.SendStoredAnswer
         ):
             counts[(effects.SendAnswer, effect.hosted)] += 1
     assert all(count == 1 for count in counts.values()), counts
@@ -292,20 +295,20 @@
 ) -> None:
     _, played, out = _play(steps)
     keys = {
-        event.hosted: event.call.key
+        event.hosted: event.metadata.key
         for event in played
         if isinstance(event, events.OpenReceived)
     }
     not_written = {
         event.hosted
         for event in played
-        if isinstance(event, events.BackendFailed) and not event.handed
+        if isinstance(event, events.BackendFailed) and not event.dispatched
     }
     handed: collections.Counter[str] = collections.Counter(
         keys[effect.hosted]
         for group in out
         for effect in group
-        if isinstance(effect, effects.HandOver)
+        if isinstance(effect, effects.DispatchCall)
         and effect.hosted not in not_written
         and keys[effect.hosted]
     )
--- a/tests/cover/test_restored_log.py
+++ b/tests/cover/test_restored_log.py
@@ -200,10 +200,10 @@
         begin = routed.started()
         self.state = reducer.new_state(begin)
         self.out = reducer.reduce(self.state, begin)
-        self.state.started = begin.now - 10_000.0
+        self.state.started_at = begin.now - 10_000.0
         self.newest(1, end=4, epoch=5)
         self.state.streams[streams.ROUTES].followed = True
-        streams.resume(self.state, self.out)
+        streams.retry_due(self.state, self.out)
 
     @property
     def stream(self) -> states.Stream:
@@ -221,7 +221,7 @@
                 stream=streams.ROUTES,
                 records=(messages.encode_record(table),),
                 end=end,
-                asked=self.state.now,
+                requested_at=self.state.now,
                 generation=self.stream.generation,
                 epoch=ids.LogEpoch(epoch),
             )
@@ -244,7 +244,7 @@
                 records=tuple(messages.encode_record(table) for table in tables),
                 oldest=0,
                 end=first + len(tables),
-                asked=self.state.now,
+                requested_at=self.state.now,
                 generation=own if generation is None else generation,
                 epoch=ids.LogEpoch(epoch),
             )
@@ -260,7 +260,7 @@
                 oldest=first,
                 end=first,
                 missing=True,
-                asked=self.state.now,
+                requested_at=self.state.now,
                 generation=self.stream.generation,
                 epoch=ids.LogEpoch(epoch),
             )
@@ -297,7 +297,7 @@
 def test_an_answer_that_brings_the_newest_and_a_higher_epoch_is_used_at_once() -> None:
     node = _Reader()
     streams.reread(node.state, streams.ROUTES)
-    node.stream.reading = False
+    node.stream.read_pending = False
     node.tick()
     node.newest(2, end=1, epoch=6)
     assert node.state.version == 2
@@ -405,7 +405,7 @@
 
 def test_a_header_that_comes_for_the_first_time_may_hide_a_return() -> None:
     node = _Reader()
-    node.state.log = states.LogHistory(saw_none=True)
+    node.state.log = states.LogHistory(read_without_epoch=True)
     assert _reads_newest(node.read(epoch=7))
 
 
@@ -440,7 +440,7 @@
 def _joined(*, members: int = 1) -> _Reader:
     """Return a node whose own record the log has acknowledged."""
     node = _Reader()
-    put = node.state.membership.join_put
+    put = node.state.membership.join_put_number
     others = [builders.member(f"m{n}", "plans") for n in range(members)]
     builders.add_members(node.state, *others)
     reducer.reduce(
@@ -497,7 +497,7 @@
     )
     node.took(members)
     builders.add_members(node.state, builders.member("m0", "plans"))
-    node.state.started -= joining.RECENT_START_MS
+    node.state.started_at -= joining.RECENT_START_MS
     node.heard(6)
     out = builders.passed(node.state, 2_500.0)
     (put,) = _join_puts(out)
--- a/tests/cover/test_retry_rationing.py
+++ b/tests/cover/test_retry_rationing.py
@@ -27,39 +27,39 @@
 REFUSED = decisions.Rule.BACKEND_REFUSED
 
 
-def _wanting(count: int, *, over_ms: float) -> rationing.Wants:
-    wants = rationing.Wants()
+def _wanting(count: int, *, over_ms: float) -> rationing.RetryDemand:
+    wants = rationing.RetryDemand()
     drawn = random.Random(1)
     for number in range(count):
         rank = ids.Rank(drawn.randrange(1000))
-        rationing.note(wants, rank, number * over_ms / count)
+        rationing.record_demand(wants, rank, number * over_ms / count)
     return wants
 
 
 def test_a_budget_that_carries_all_wants_cuts_nobody_off() -> None:
     wants = _wanting(100, over_ms=1_000.0)
-    assert rationing.cut(wants, 200.0, 1_000.0) == ranks.LOWEST
+    assert rationing.minimum_rank(wants, 200.0, 1_000.0) == ranks.LOWEST
 
 
 @pytest.mark.parametrize(("supply", "share"), [(25.0, 0.5), (5.0, 0.1), (0.0, 0.0)])
 def test_a_short_budget_goes_to_the_highest_ranks(supply: float, share: float) -> None:
     # 100 wants a second are 50 within the half second that a budget is divided over.
     wants = _wanting(100, over_ms=1_000.0)
-    cut = rationing.cut(wants, supply, 1_000.0)
+    cut = rationing.minimum_rank(wants, supply, 1_000.0)
     carried = [rank for _, rank in wants.seen if rank >= cut]
     assert len(carried) == pytest.approx(100 * share, abs=1)
 
 
 def test_wants_of_long_ago_tell_nothing() -> None:
     wants = _wanting(100, over_ms=1_000.0)
-    assert rationing.cut(wants, 1.0, 60_000.0) == ranks.LOWEST
+    assert rationing.minimum_rank(wants, 1.0, 60_000.0) == ranks.LOWEST
 
 
 def test_what_is_kept_of_wants_is_bounded() -> None:
     wants = _wanting(10_000, over_ms=1_000.0)
     assert len(wants.seen) <= 2 * rationing.MOST_KEPT
     # The rate is told by what is kept all the same: a tenth of the wants is carried.
-    cut = rationing.cut(wants, 500.0, 1_000.0)
+    cut = rationing.minimum_rank(wants, 500.0, 1_000.0)
     assert 850 < cut < 950
 
 
@@ -118,7 +118,7 @@
     state = _entry("n2", "n3")
     budget = state.budgets[ids.ServiceName("plans")]
     for _ in range(2_000):
-        rationing.note(budget.wants, ids.Rank(ranks.HIGHEST), state.now)
+        rationing.record_demand(budget.wants, ids.Rank(ranks.HIGHEST), state.now)
     first = routed.sent_to(reducer.reduce(state, routed.arrived(1)))
     out = _turned_away(state, first.attempt, room=True)
     assert not builders.all_of(out, effects.OpenAttempt)
@@ -133,9 +133,9 @@
     budget = state.budgets[ids.ServiceName("plans")]
     assert budget.held >= 1.0
     for _ in range(2_000):
-        rationing.note(budget.wants, ids.Rank(ranks.HIGHEST), state.now)
+        rationing.record_demand(budget.wants, ids.Rank(ranks.HIGHEST), state.now)
     out: list[effects.Effect] = []
-    calls.on_node_silent(state, sent.node, out)
+    calls.on_node_unresponsive(state, sent.node, out)
     assert not builders.all_of(out, effects.CancelAttempt)
     assert state.calls[ids.CallId(1)].attempt == sent.attempt
 
@@ -151,7 +151,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     by_rank = _played(0.25)
-    monkeypatch.setattr(rationing, "cut", lambda wants, supply, now: ranks.LOWEST)
+    monkeypatch.setattr(
+        rationing, "minimum_rank", lambda wants, supply, now: ranks.LOWEST
+    )
     by_order = _played(0.25)
     assert by_rank.worth > by_order.worth + 0.01
     assert by_rank.repeats <= 0.2
--- a/tests/cover/test_routed_attempts.py
+++ b/tests/cover/test_routed_attempts.py
@@ -91,7 +91,7 @@
     terms = builders.call_terms(importance=3, trace="r1", deadline_ms=300.0)
     reducer.reduce(state, builders.opened(1, terms))
     out = reducer.reduce(state, routed.arrived(5, path="/b/x", request="r1.c1"))
-    child = routed.sent_to(out).terms
+    child = routed.sent_to(out).metadata
     assert child.depth == 1
     # Not the class of its own route, which is higher.
     assert child.importance == 3
@@ -116,13 +116,13 @@
     terms = builders.call_terms(importance=5, root=1, trace="r1")
     reducer.reduce(state, builders.opened(1, terms))
     out = reducer.reduce(state, routed.arrived(5, request="r1.c1"))
-    assert routed.sent_to(out).terms.root == 1
+    assert routed.sent_to(out).metadata.root == 1
 
 
 def test_an_id_that_continues_no_request_here_is_a_request_of_its_own() -> None:
     state = _state()
     out = reducer.reduce(state, routed.arrived(5, request="elsewhere.c1"))
-    assert routed.sent_to(out).terms.depth == 0
+    assert routed.sent_to(out).metadata.depth == 0
 
 
 def check_repeats_stay_within_the_bound(
@@ -217,7 +217,7 @@
         request = f"r{number}.c"
         call = routed.arrived(10 + number, path="/b/x", request=request)
         sent = routed.sent_to(reducer.reduce(state, call))
-        assert sent.terms.repeat is repeat
+        assert sent.metadata.repeat is repeat
     assert state.budgets[ids.ServiceName("porting")].held < 0.0
 
 
@@ -226,11 +226,13 @@
     state = routed.node_state(service="plans")
     out = reducer.reduce(state, events.StopRequested(now=state.now, grace_ms=5_500.0))
     assert not builders.all_of(out, effects.PutRecord)
-    assert builders.all_of(reducer.reduce(state, builders.opened(1)), effects.HandOver)
+    assert builders.all_of(
+        reducer.reduce(state, builders.opened(1)), effects.DispatchCall
+    )
     departs = state.now + reducer.ROUTED_LINGER_MS - reducer.STOP_LINGER_MS
     out = reducer.reduce(state, events.Tick(now=departs))
     assert builders.only(out, effects.PutRecord).record == b""
-    me = state.membership.me
+    me = state.membership.self_member
     assert me is not None and me.state is messages.MemberState.LEAVING
     refusal = builders.only(
         reducer.reduce(state, builders.opened(2)), effects.SendRefusal
@@ -243,7 +245,7 @@
     state = _state()
     reducer.reduce(state, events.StopRequested(now=state.now))
     out = reducer.reduce(state, routed.arrived(1))
-    assert routed.sent_to(out).terms.service == "plans"
+    assert routed.sent_to(out).metadata.service == "plans"
     late = state.now + reducer.ROUTED_LINGER_MS + 1
     out = reducer.reduce(state, routed.arrived(2, now=late))
     assert builders.only(out, effects.RefuseCall).status == 503
@@ -256,7 +258,7 @@
     reducer.reduce(state, events.CancelReceived(now=state.now, hosted=ids.HostedId(2)))
     done = events.BackendAnswered(now=state.now, hosted=ids.HostedId(1), status=200)
     out = reducer.reduce(state, done)
-    assert not builders.all_of(out, effects.HandOver)
+    assert not builders.all_of(out, effects.DispatchCall)
 
 
 def test_a_caller_that_goes_cancels_its_attempt_at_once() -> None:
@@ -282,7 +284,7 @@
     # four callers got nothing.
     state = _state(priority=5)
     classes = collections.Counter(
-        routed.sent_to(reducer.reduce(state, routed.arrived(n))).terms.importance
+        routed.sent_to(reducer.reduce(state, routed.arrived(n))).metadata.importance
         for n in range(2_000)
     )
     assert set(classes) == {2, 7}
--- a/tests/cover/test_routes.py
+++ b/tests/cover/test_routes.py
@@ -135,7 +135,7 @@
     sent = collections.Counter()
     for call in range(count):
         out = reducer.reduce(state, routed.arrived(call))
-        sent[routed.sent_to(out).terms.service] += 1
+        sent[routed.sent_to(out).metadata.service] += 1
     total = sum(weights)
     for service, weight in shares:
         assert abs(sent[service] - count * weight / total) <= 2.0
--- a/tests/cover/test_rumours.py
+++ b/tests/cover/test_rumours.py
@@ -8,12 +8,12 @@
 from hypothesis import strategies as st
 
 from gingerturn.internal import ids
-from gingerturn.internal.core import member_table, messages, reducer, rumour_queue
+from gingerturn.internal.core import gossip_queue, member_table, messages, reducer
 from tests.common import builders
 
 
 def test_what_was_told_least_often_goes_first() -> None:
-    waiting = rumour_queue.Rumours()
+    waiting = gossip_queue.GossipQueue()
     for node in ("a", "b", "c"):
         waiting.put(node, 3)
     assert waiting.take(2) == ["a", "b"]
@@ -23,7 +23,7 @@
 
 
 def test_each_is_told_as_often_as_was_said() -> None:
-    waiting = rumour_queue.Rumours()
+    waiting = gossip_queue.GossipQueue()
     waiting.put("a", 2)
     waiting.put("b", 1)
     told = waiting.take(5) + waiting.take(5) + waiting.take(5)
@@ -38,7 +38,7 @@
     )
 )
 def test_buckets_and_counts_agree(steps: list[tuple[str, int] | int]) -> None:
-    waiting = rumour_queue.Rumours()
+    waiting = gossip_queue.GossipQueue()
     for step in steps:
         if isinstance(step, int):
             taken = waiting.take(step)
@@ -58,7 +58,10 @@
     fields = {"sequence": 0, "revision": ids.Revision(0), "members": members}
     message = messages.Gossip(kind=kind, **fields)  # type: ignore[arg-type]
     reducer.reduce(state, builders.datagram(ids.NodeId("m0"), message, now=state.now))
-    return sum(state.membership.rumours.dump()[f"m{n}"] for n in range(1, 190)) // 189
+    return (
+        sum(state.membership.pending_updates.dump()[f"m{n}"] for n in range(1, 190))
+        // 189
+    )
 
 
 def test_a_list_of_all_members_is_passed_on_less_often_than_news() -> None:
--- a/tests/cover/test_settling.py
+++ b/tests/cover/test_settling.py
@@ -6,7 +6,7 @@
     effects,
     events,
     reducer,
-    settling,
+    startup_waits,
     state as states,
 )
 from tests.common import builders, routed
@@ -23,7 +23,7 @@
         routed.route("below", prefix="/b/", shares=(("stock", 1),)),
     )
     state = routed.node_state(*table, service="plans", slots=9)
-    state.started = state.now
+    state.started_at = state.now
     return state
 
 
@@ -44,7 +44,7 @@
     message = builders.gossip(members=(builders.member("n2", "stock"),))
     out = reducer.reduce(state, builders.datagram("n2", message, now=state.now))
     assert routed.sent_to(out).node == "n2"
-    assert not state.waiting
+    assert not state.waiting_calls
 
 
 def test_it_is_sent_once_only() -> None:
@@ -62,17 +62,17 @@
     terms = builders.call_terms(kind="lookup", trace="r1", deadline_ms=4_000.0)
     reducer.reduce(state, builders.opened(1, terms))
     reducer.reduce(state, routed.arrived(7, path="/b/x", request="r1.c1"))
-    out = builders.passed(state, settling.DEEP_HELD_MS - 20.0)
+    out = builders.passed(state, startup_waits.DEEP_HELD_MS - 20.0)
     assert not builders.all_of(out, effects.RefuseCall)
     refusal = builders.only(builders.passed(state, CHECK_MS), effects.RefuseCall)
     assert refusal.status == 503
-    assert not state.waiting
+    assert not state.waiting_calls
 
 
 def test_a_new_request_waits_for_a_moment_and_may_soon_come_back() -> None:
     state = _fresh()
     out = reducer.reduce(state, routed.arrived(1, path="/b/x"))
-    out += builders.passed(state, settling.ROOT_HELD_MS - 20.0)
+    out += builders.passed(state, startup_waits.ROOT_HELD_MS - 20.0)
     assert not builders.all_of(out, effects.RefuseCall)
     refusal = builders.only(builders.passed(state, CHECK_MS), effects.RefuseCall)
     assert 0 < refusal.retry_after_ms <= TARGET_MS / 2
@@ -80,7 +80,7 @@
 
 def test_a_node_that_has_settled_refuses_at_once() -> None:
     state = _fresh()
-    state.started = state.now - settling.SETTLE_MS
+    state.started_at = state.now - startup_waits.SETTLE_MS
     refusal = builders.only(_call_of_a_running_request(state), effects.RefuseCall)
     assert refusal.title == "no upstream"
 
@@ -90,7 +90,7 @@
     reducer.reduce(state, routed.arrived(1, path="/b/x"))
     reducer.reduce(state, events.CallerGone(now=state.now, call=ids.CallId(1)))
     builders.add_members(state, builders.member("n2", "stock"))
-    assert not state.attempts and not state.waiting
+    assert not state.attempts and not state.waiting_calls
 
 
 def test_a_waiting_call_that_may_not_repeat_is_told_not_to_have_run() -> None:
@@ -98,7 +98,7 @@
         prefix="/b/", kind=routes.RouteType.UNREPEATABLE, shares=(("stock", 1),)
     )
     state = routed.node_state(route)
-    state.started = state.now
+    state.started_at = state.now
     reducer.reduce(state, routed.arrived(1, path="/b/x"))
     refusal = builders.only(builders.passed(state, TARGET_MS), effects.RefuseCall)
     assert refusal.status == 503
--- a/tests/cover/test_silent_nodes.py
+++ b/tests/cover/test_silent_nodes.py
@@ -81,7 +81,7 @@
     others = (builders.member(f"other{n}", "porting") for n in range(20))
     builders.add_members(state, *others)
     _suspect_by_silence(state, first.node)
-    routing.hear(state, first.node, "lookup", builders.report())
+    routing.on_load_report(state, first.node, "lookup", builders.report())
     out = builders.passed(state, upstreams.ANSWERED_LATELY_MS - 20.0)
     assert not builders.all_of(out, effects.CancelAttempt)
     out = builders.passed(state, 20.0 + membership.CHECK_MS + timers.GRID_MS)
@@ -90,9 +90,9 @@
 
 def _suspect_by_silence(state: states.State, node: ids.NodeId) -> None:
     """Let a probe of a node that answers calls until then miss its answer."""
-    state.membership.order = [node]
+    state.membership.probe_order = [node]
     while node not in state.membership.suspected:
-        routing.hear(state, node, "lookup", builders.report())
+        routing.on_load_report(state, node, "lookup", builders.report())
         builders.passed(state, 10.0)
 
 
--- a/tests/cover/test_standstill.py
+++ b/tests/cover/test_standstill.py
@@ -13,8 +13,8 @@
     effects,
     events,
     membership,
+    pause_detection,
     reducer,
-    standstill,
     state as states,
     timers,
 )
@@ -96,8 +96,8 @@
 
 def test_a_busy_node_that_ticks_late_is_none_that_stood_still() -> None:
     state = _probing()
-    late = state.now + standstill.STOOD_STILL_MS - 1.0
+    late = state.now + pause_detection.STOOD_STILL_MS - 1.0
     out = reducer.reduce(state, events.Tick(now=late))
     told = builders.all_of(out, effects.WriteLog)
     assert not any("stood still" in line.text for line in told)
-    assert ids.Milliseconds(late) == state.ticked
+    assert ids.Milliseconds(late) == state.last_tick_at
--- a/tests/cover/test_workspaces.py
+++ b/tests/cover/test_workspaces.py
@@ -24,7 +24,7 @@
 def test_a_request_goes_on_in_the_name_of_the_workspace_that_has_its_key() -> None:
     state = keyed.node_state(keyed.workspace("shop"), keyed.workspace("depot", "k2"))
     out = reducer.reduce(state, keyed.arrived(1, "k2"))
-    assert routed.sent_to(out).terms.workspace == "depot"
+    assert routed.sent_to(out).metadata.workspace == "depot"
 
 
 @pytest.mark.parametrize("key", ["", "never", "shop "])
@@ -55,7 +55,7 @@
     later = keyed.table(keyed.workspace("shop", "shop", "new"), version=2)
     reducer.reduce(state, events.RoutesReceived(now=state.now, table=later))
     out = reducer.reduce(state, keyed.arrived(2, "new"))
-    assert routed.sent_to(out).terms.workspace == "shop"
+    assert routed.sent_to(out).metadata.workspace == "shop"
 
 
 @pytest.mark.parametrize("key", ["", "shop", "never"])
@@ -63,7 +63,7 @@
     public = _public()
     state = keyed.node_state(listed=(public, routed.route("other", prefix="/b/")))
     out = reducer.reduce(state, keyed.arrived(1, key))
-    assert routed.sent_to(out).terms.workspace == ""
+    assert routed.sent_to(out).metadata.workspace == ""
 
 
 def _public() -> routes.Route:
@@ -76,14 +76,14 @@
     state = routed.node_state()
     builders.add_members(state, builders.member("home", "plans"))
     out = reducer.reduce(state, keyed.arrived(1, ""))
-    assert routed.sent_to(out).terms.workspace == ""
+    assert routed.sent_to(out).metadata.workspace == ""
 
 
 def _hosting(workspace: str) -> typing.Any:
     """Return a node beside a backend server that runs a request ``whole``."""
     state = keyed.node_state(keyed.workspace("shop"), keyed.workspace("depot"))
     reducer.reduce(state, routed.announced("plans"))
-    terms = messages.CallTerms(
+    terms = messages.CallMetadata(
         service=ids.ServiceName("plans"),
         kind=ids.KindName("lookup"),
         importance=5,
@@ -99,7 +99,7 @@
         now=state.now,
         hosted=ids.HostedId(9),
         sender=ids.NodeId("entry"),
-        call=terms,
+        metadata=terms,
     )
     reducer.reduce(state, opened)
     return state
@@ -109,16 +109,16 @@
     state = _hosting("depot")
     out = reducer.reduce(state, keyed.arrived(1, "", request="whole.1"))
     sent = builders.only(out, effects.OpenAttempt)
-    assert sent.terms.workspace == "depot"
-    assert sent.terms.depth == 1
+    assert sent.metadata.workspace == "depot"
+    assert sent.metadata.depth == 1
 
 
 def test_a_request_with_a_key_is_one_of_its_own_whatever_its_id_says() -> None:
     state = _hosting("depot")
     out = reducer.reduce(state, keyed.arrived(1, "shop", request="whole.1"))
     sent = builders.only(out, effects.OpenAttempt)
-    assert sent.terms.workspace == "shop"
-    assert sent.terms.depth == 0
+    assert sent.metadata.workspace == "shop"
+    assert sent.metadata.depth == 0
 
 
 def test_a_call_of_a_request_that_is_not_known_here_is_asked_to_come_again() -> None:
@@ -226,4 +226,4 @@
 
 def test_every_refusal_has_words_for_people() -> None:
     for rule in decisions.Rule:
-        assert decisions.words_of(rule)
+        assert decisions.description_of(rule)
--- a/tests/nocover/test_start_of_a_node.py
+++ b/tests/nocover/test_start_of_a_node.py
@@ -88,7 +88,7 @@
             await _announce(beside, 1)
         await node.start()
         await _announce(beside, 2)
-        me = node.state.membership.me
+        me = node.state.membership.self_member
         assert me is not None
         return me.service
     finally:
--- a/tests/quality/test_completeness.py
+++ b/tests/quality/test_completeness.py
@@ -23,8 +23,8 @@
 
 def test_the_fakes_pass_over_only_what_they_say() -> None:
     passed_over = {
-        effects.KeepAnswer,
-        effects.ForgetAnswer,
+        effects.StoreAnswer,
+        effects.DeleteStoredAnswer,
         effects.FetchSnapshot,
         effects.PublishEnded,
         effects.WriteLog,
--- a/tests/quality/test_proofs_can_fail.py
+++ b/tests/quality/test_proofs_can_fail.py
@@ -54,13 +54,16 @@
 
     def start(state: states.State, hosted: states.Hosted, out: states.Effects) -> None:
         admission.take_slot(state)
-        hosted.terms = messages.CallTerms(
+        hosted.metadata = messages.CallMetadata(
             **{
-                **{n: getattr(hosted.terms, n) for n in hosted.terms.__struct_fields__},
+                **{
+                    n: getattr(hosted.metadata, n)
+                    for n in hosted.metadata.__struct_fields__
+                },
                 "key": "",
             }
         )
-        hosting.hand_over(state, hosted, out)
+        hosting.dispatch(state, hosted, out)
 
     patch.setattr(hosting, "start", start)
 
@@ -97,7 +100,7 @@
 
     class _Messages:
         Outcome = _Always
-        CallTerms = messages.CallTerms
+        CallMetadata = messages.CallMetadata
         Member = messages.Member
         MemberState = messages.MemberState
 
@@ -131,7 +134,7 @@
     patch.setattr(
         "gingerturn.internal.core.membership._suspect", lambda state, node, out: None
     )
-    patch.setattr(upstreams, "note_failure", lambda state, node: False)
+    patch.setattr(upstreams, "record_failure", lambda state, node: False)
 
 
 def _stops_at_once(patch: pytest.MonkeyPatch) -> None:
@@ -190,9 +193,11 @@
 def test_the_token_proof_fails_when_tokens_are_copied(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(allowance, "part_for_child", lambda tokens: 0)
-    monkeypatch.setattr(allowance, "part_for_attempt", lambda tokens: 0)
-    monkeypatch.setattr(allowance, "returned", lambda *, taken, reported: reported + 1)
+    monkeypatch.setattr(allowance, "tokens_for_child", lambda tokens: 0)
+    monkeypatch.setattr(allowance, "tokens_for_attempt", lambda tokens: 0)
+    monkeypatch.setattr(
+        allowance, "returned_tokens", lambda *, taken, reported: reported + 1
+    )
     with pytest.raises(AssertionError):
         under_load.test_attempts_in_a_tree_never_exceed_the_allowance()
 
@@ -209,7 +214,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def based(state: states.State, *, first: int, oldest: int, gap: bool) -> None:
-        state.revisions.based = True
+        state.revisions.complete = True
 
     monkeypatch.setattr(revisions, "on_read", based)
     with pytest.raises(AssertionError):
--- a/tests/quality/test_rules_can_be_broken.py
+++ b/tests/quality/test_rules_can_be_broken.py
@@ -10,9 +10,9 @@
 
 from gingerturn import dialect
 from gingerturn.internal.core import (
-    blame,
     calls,
-    cap_keeper,
+    cap_allocator,
+    crash_attribution,
     decisions,
     events,
     freshness,
@@ -23,13 +23,13 @@
     member_order,
     membership,
     messages,
+    pause_detection,
     pollers,
     quarantine,
     quarantine_table,
     reducer,
     route_table,
     sending,
-    standstill,
     state as states,
     streams,
     timers,
@@ -75,13 +75,13 @@
     return True
 
 
-def _all_blamed(ends: dict[str, typing.Any]) -> dict[int, states.Word]:
+def _all_blamed(ends: dict[str, typing.Any]) -> dict[int, states.QuarantineEntry]:
     """Blame all that was under way in three ends, whatever explains them."""
     counts = collections.Counter(r for end in ends.values() for r in end.requests)
     return {
-        request: states.Word(ends=times, at=builders.START)
+        request: states.QuarantineEntry(crash_count=times, last_crash_at=builders.START)
         for request, times in counts.items()
-        if times >= blame.ENDS_TO_KEEP_OUT
+        if times >= crash_attribution.CRASHES_TO_QUARANTINE
     }
 
 
@@ -91,8 +91,8 @@
 
 def _unasked_for(state: states.State, asked: float, message: messages.Gossip) -> None:
     """Take a member's word for as young as its arrival."""
-    if message.proven_age_ms >= 0:
-        state.freshness.proven = state.now - message.proven_age_ms
+    if message.verified_age_ms >= 0:
+        state.freshness.verified_at = state.now - message.verified_age_ms
 
 
 def _answering(state: states.State) -> int:
@@ -149,14 +149,14 @@
     (
         "CONFIG: words that were under way",
         freshness,
-        "note_word",
+        "on_peer_age",
         _unasked_for,
         fresh.test_a_members_word_counts_from_the_question_however_late_it_comes,
     ),
     (
         "CONFIG: nodes that the log refuses",
         freshness,
-        "note_word",
+        "on_peer_age",
         _nothing,
         fresh.test_a_node_refused_by_the_log_lives_by_what_members_tell,
     ),
@@ -177,7 +177,7 @@
     (
         "QUOTA: parted sides",
         member_order,
-        "owners",
+        "cap_sharer_count",
         _answering,
         functools.partial(
             of_caps.test_parted_sides_hold_the_cap_under_a_flood,
@@ -186,8 +186,8 @@
     ),
     (
         "QUOTA: several keepers",
-        cap_keeper,
-        "lent_share",
+        cap_allocator,
+        "current_share",
         _all_lent,
         of_caps.several_keepers_hold_the_cap,
     ),
@@ -229,7 +229,7 @@
     (
         "DRAIN, late word",
         instances,
-        "is_late",
+        "is_outdated",
         _false,
         announcements.test_a_late_announcement_does_not_undo_leaving,
     ),
@@ -250,7 +250,7 @@
     (
         "CONFIG, from a peer",
         route_table,
-        "hear",
+        "on_peer_version",
         _nothing,
         of_routes.test_a_later_version_heard_by_gossip_is_fetched_from_that_peer,
     ),
@@ -264,7 +264,7 @@
     (
         "BUDGET, requests that end backend servers: the entries",
         sending.quarantine,
-        "word_on",
+        "entry_of",
         _nothing,
         functools.partial(
             of_quarantine.test_an_entry_refuses_it_before_any_work_and_says_when_to_come_back,
@@ -280,8 +280,8 @@
     ),
     (
         "BUDGET, requests that end backend servers: the news",
-        membership.quarantine_news,
-        "hear",
+        membership.quarantine_gossip,
+        "on_gossip",
         _false,
         deadly.test_homes_of_a_large_service_know_of_each_others_ends,
     ),
@@ -301,8 +301,8 @@
     ),
     (
         "what another request explains is not kept out",
-        blame,
-        "blamed_for",
+        crash_attribution,
+        "attribute_crashes",
         _all_blamed,
         of_quarantine.test_a_request_that_was_sent_on_into_three_ends_is_not_blamed,
     ),
@@ -315,7 +315,7 @@
     ),
     (
         "a node that stood still suspects nobody",
-        standstill,
+        pause_detection,
         "STOOD_STILL_MS",
         1e12,
         stood_still.test_a_node_that_stood_still_suspects_nobody_for_it,
@@ -343,8 +343,8 @@
     ),
     (
         "RECOVER, right after a start",
-        sending.settling,
-        "hold",
+        sending.startup_waits,
+        "enqueue",
         _false,
         settling.test_a_call_of_a_running_request_waits_for_the_first_upstream,
     ),
--- a/tooling/gingerturn_fakes/backends.py
+++ b/tooling/gingerturn_fakes/backends.py
@@ -23,11 +23,11 @@
 
 
 def hand_over(
-    made: "worlds.World", node: parts.FakeNode, effect: effects.HandOver
+    made: "worlds.World", node: parts.FakeNode, effect: effects.DispatchCall
 ) -> None:
     """Take a call that a node hands to its backend server."""
     known = node.terms.get(effect.hosted)
-    terms = node.state.hosted[effect.hosted].terms if known is None else known[2]
+    terms = node.state.hosted[effect.hosted].metadata if known is None else known[2]
     method, path = node.requests.pop(-effect.hosted, ("GET", "/"))
     work = parts.Work(
         hosted=effect.hosted,
@@ -41,7 +41,9 @@
         began=made.now,
     )
     if not node.backend.up:
-        event = events.BackendFailed(now=made.now, hosted=effect.hosted, handed=False)
+        event = events.BackendFailed(
+            now=made.now, hosted=effect.hosted, dispatched=False
+        )
         made.at(LOCAL_MS, lambda: made.apply_to(node, parts.moved(event, made.now)))
         return
     node.works[effect.hosted] = work
@@ -100,7 +102,9 @@
 
 
 def _fail(made: "worlds.World", node: parts.FakeNode, hosted: int) -> None:
-    event = events.BackendFailed(now=made.now, hosted=ids.HostedId(hosted), handed=True)
+    event = events.BackendFailed(
+        now=made.now, hosted=ids.HostedId(hosted), dispatched=True
+    )
     made.at(LOCAL_MS, lambda: made.apply_to(node, parts.moved(event, made.now)))
 
 
--- a/tooling/gingerturn_fakes/fake_log.py
+++ b/tooling/gingerturn_fakes/fake_log.py
@@ -156,7 +156,7 @@
                 records=(),
                 oldest=0,
                 end=0,
-                asked=asked,
+                requested_at=asked,
                 extra=effect.extra,
                 missing=True,
                 generation=effect.generation,
@@ -169,14 +169,14 @@
             records=tuple(stream[effect.offset : effect.offset + 500]),
             oldest=0,
             end=len(stream),
-            asked=asked,
-            held_ms=held_ms,
+            requested_at=asked,
+            held_open_ms=held_ms,
             extra=effect.extra,
             generation=effect.generation,
             epoch=ids.LogEpoch(world.log.epoch),
         )
 
-    hold_ms = (effect.hold_ms or world.log.hold_ms) if effect.wait else 0.0
+    hold_ms = (effect.long_poll_ms or world.log.hold_ms) if effect.wait else 0.0
     _read(world, node, effect, found, hold_ms=hold_ms)
 
 
@@ -192,7 +192,7 @@
             stream=effect.stream,
             records=tuple(world.log.newest.get(effect.stream, {}).values()),
             end=len(world.log.streams.get(effect.stream, [])),
-            asked=asked,
+            requested_at=asked,
             generation=effect.generation,
             epoch=ids.LogEpoch(world.log.epoch),
         )
--- a/tooling/gingerturn_fakes/links.py
+++ b/tooling/gingerturn_fakes/links.py
@@ -35,7 +35,7 @@
     world.homes[(node.name, effect.attempt)] = (home, hosted)
 
     def arrive() -> None:
-        home.terms[hosted] = (node.name, effect.attempt, effect.terms)
+        home.terms[hosted] = (node.name, effect.attempt, effect.metadata)
         home.requests[-hosted] = request
         world.apply_to(
             home,
@@ -43,7 +43,7 @@
                 now=world.now,
                 hosted=ids.HostedId(hosted),
                 sender=ids.NodeId(node.name),
-                call=effect.terms,
+                metadata=effect.metadata,
             ),
         )
 
@@ -83,7 +83,7 @@
 
 
 def send_kept(
-    world: "worlds.World", node: parts.FakeNode, effect: effects.SendKeptAnswer
+    world: "worlds.World", node: parts.FakeNode, effect: effects.SendStoredAnswer
 ) -> None:
     """Carry an answer that was kept for repeats back."""
     _answer_back(world, node, effect.hosted, effect.tokens, effect.report)
@@ -150,7 +150,7 @@
 
 
 def ask_level(
-    world: "worlds.World", node: parts.FakeNode, effect: effects.AskLevel
+    world: "worlds.World", node: parts.FakeNode, effect: effects.RequestLevel
 ) -> None:
     """Carry a question for what is shed at present."""
     home = world.nodes[effect.node]
@@ -160,20 +160,20 @@
     def arrive() -> None:
         world.apply_to(
             home,
-            events.LevelAsked(now=world.now, question=question, kind=effect.kind),
+            events.LevelRequested(now=world.now, request=question, kind=effect.kind),
         )
 
     _to(world, node, home, arrive)
 
 
 def tell_level(
-    world: "worlds.World", node: parts.FakeNode, effect: effects.TellLevel
+    world: "worlds.World", node: parts.FakeNode, effect: effects.ReportLevel
 ) -> None:
     """Carry the answer to that question."""
-    asker, kind = world.questions.pop(effect.question)
+    asker, kind = world.questions.pop(effect.request)
 
     def arrive() -> None:
-        told = events.LevelTold(
+        told = events.LevelReported(
             now=world.now,
             node=ids.NodeId(node.name),
             kind=kind,
@@ -195,7 +195,7 @@
     if name is None or world.random.random() < world.drop_gossip:
         return
     receiver = world.nodes[name]
-    port = node.state.membership.me.gossip_port
+    port = node.state.membership.self_member.gossip_port
     _to(
         world,
         node,
--- a/tooling/gingerturn_fakes/parts.py
+++ b/tooling/gingerturn_fakes/parts.py
@@ -112,7 +112,7 @@
     paused_until: float = 0.0
     held: list[events.Event] = dataclasses.field(default_factory=list)
     works: dict[int, Work] = dataclasses.field(default_factory=dict)
-    terms: dict[int, tuple[str, int, messages.CallTerms]] = dataclasses.field(
+    terms: dict[int, tuple[str, int, messages.CallMetadata]] = dataclasses.field(
         default_factory=dict
     )
     kept: dict[str, int] = dataclasses.field(default_factory=dict)
--- a/tooling/gingerturn_fakes/world.py
+++ b/tooling/gingerturn_fakes/world.py
@@ -155,7 +155,7 @@
 
     def _introduce(self) -> None:
         """Let every node know every other: membership has tests of its own."""
-        members = tuple(n.state.membership.me for n in self.nodes.values())
+        members = tuple(n.state.membership.self_member for n in self.nodes.values())
         for node in self.nodes.values():
             message = messages.Gossip(
                 kind=messages.GossipKind.ACK,
@@ -420,14 +420,14 @@
     effects.CancelAttempt: links.cancel_attempt,
     effects.RelayAnswer: World._relay,
     effects.RefuseCall: World._refuse,
-    effects.HandOver: backends.hand_over,
+    effects.DispatchCall: backends.hand_over,
     effects.CancelBackend: backends.cancel_backend,
     effects.CheckBackend: backends.check,
     effects.SendAnswer: links.send_answer,
-    effects.SendKeptAnswer: links.send_kept,
+    effects.SendStoredAnswer: links.send_kept,
     effects.SendRefusal: links.send_refusal,
-    effects.AskLevel: links.ask_level,
-    effects.TellLevel: links.tell_level,
+    effects.RequestLevel: links.ask_level,
+    effects.ReportLevel: links.tell_level,
     effects.SendGossip: links.gossip,
     effects.Append: fake_log.append,
     effects.PutRecord: fake_log.put,
