--- a/tests/cover/test_levels_at_size.py
+++ b/tests/cover/test_levels_at_size.py
@@ -179,11 +179,11 @@
     asked: list[str] = []
     original = upstreams.is_unresponsive
 
-    def is_silent(state: states.State, node: ids.NodeId) -> bool:
+    def is_unresponsive(state: states.State, node: ids.NodeId) -> bool:
         asked.append(node)
         return original(state, node)
 
-    monkeypatch.setattr(upstreams, "is_silent", is_silent)
+    monkeypatch.setattr(upstreams, "is_unresponsive", is_unresponsive)
     for _ in range(50):
         assert "u7" not in upstreams.candidates(state, PLANS)
     assert len(asked) <= 2 * 400
--- a/tests/cover/test_reducer_properties.py
+++ b/tests/cover/test_reducer_properties.py
@@ -38,7 +38,7 @@
     tokens=st.integers(0, 4),
     repeatable=st.booleans(),
     key=KEYS,
-    first=st.booleans(),
+    never_ran=st.booleans(),
     fingerprint=st.integers(0, 3),
 )
 REFUSALS = st.builds(
@@ -64,7 +64,7 @@
 )
 QUARANTINE_NEWS = st.builds(
     messages.QuarantineGossip,
-    ends=st.lists(
+    crashes=st.lists(
         st.builds(
             messages.BackendCrash,
             node=st.sampled_from(["n2", "n3"]),
@@ -76,11 +76,11 @@
         ),
         max_size=2,
     ).map(tuple),
-    words=st.lists(
+    updates=st.lists(
         st.builds(
             messages.QuarantineUpdate,
             request=st.integers(1, 3),
-            ends=st.integers(0, 4),
+            crash_count=st.integers(0, 4),
             age_ms=st.integers(0, 100).map(float),
         ),
         max_size=2,
@@ -170,7 +170,7 @@
         events.OpenReceived,
         hosted=st.integers(100, 110),
         sender=st.just("e"),
-        call=TERMS,
+        metadata=TERMS,
     ),
     _event(events.CancelReceived, hosted=st.integers(100, 110)),
     _event(
@@ -180,7 +180,9 @@
         whole=st.booleans(),
     ),
     _event(events.BackendFinished, hosted=st.integers(100, 110)),
-    _event(events.BackendFailed, hosted=st.integers(100, 110), handed=st.booleans()),
+    _event(
+        events.BackendFailed, hosted=st.integers(100, 110), dispatched=st.booleans()
+    ),
     _event(events.BackendChecked, refused=st.booleans()),
     _event(
         events.BackendAnnounced,
