--- a/src/gingerturn/internal/core/effects.py
+++ b/src/gingerturn/internal/core/effects.py
@@ -1,4 +1,4 @@
-"""Everything that the core asks of the shell, as data."""
+"""Effects: everything that the core requests of the shell, as data."""
 
 import msgspec
 
@@ -22,13 +22,13 @@
 
 
 class CancelAttempt(Effect, frozen=True):
-    """Tell the home node that the answer is not wanted any more."""
+    """Tell the home node that the answer is no longer wanted."""
 
     attempt: ids.AttemptId
 
 
 class RelayAnswer(Effect, frozen=True):
-    """Pass the answer of an attempt on to the caller."""
+    """Relay the answer of an attempt to the caller."""
 
     call: ids.CallId
     attempt: ids.AttemptId
@@ -36,9 +36,9 @@
 
 
 class RefuseCall(Effect, frozen=True):
-    """Answer the caller with a problem.
+    """Answer the caller with a problem document.
 
-    :param retry_after_ms: when to come back, 0 when that would not help.
+    :param retry_after_ms: the retry delay; 0 if a retry would not help.
     """
 
     call: ids.CallId
@@ -50,10 +50,10 @@
 
 
 class DispatchCall(Effect, frozen=True, tag="HandOver"):
-    """Hand a call to the backend server.
+    """Dispatch a call to the backend server.
 
-    :param span: span id to send on, by which its own calls are recognised.
-    :param instance: the start of the backend server that is meant, if known.
+    :param span: span id to send on, by which calls made for this one are recognised.
+    :param instance: the intended start of the backend server, if known.
     """
 
     hosted: ids.HostedId
@@ -71,7 +71,7 @@
 
 
 class CheckBackend(Effect, frozen=True):
-    """Find out whether the backend server still listens."""
+    """Check whether the backend server still listens."""
 
     host: str
     port: int
@@ -80,7 +80,7 @@
 class SendAnswer(Effect, frozen=True):
     """Send the backend server's answer to the entry node.
 
-    :param keep_as: key under which the shell keeps the answer, if any.
+    :param store_key: key under which the shell stores the answer, if any.
     :param child_failed: a call that the backend server made for it failed.
     """
 
@@ -93,7 +93,7 @@
 
 
 class SendStoredAnswer(Effect, frozen=True, tag="SendKeptAnswer"):
-    """Send the kept answer of a key to a repeat of the call."""
+    """Send the stored answer of a key to a repeat of the call."""
 
     hosted: ids.HostedId
     key: str
@@ -103,20 +103,20 @@
 
 
 class StoreAnswer(Effect, frozen=True, tag="KeepAnswer"):
-    """Keep the answer of a call whose entry node is gone."""
+    """Store the answer of a call whose entry node is gone."""
 
     hosted: ids.HostedId
     key: str
 
 
 class DeleteStoredAnswer(Effect, frozen=True, tag="ForgetAnswer"):
-    """Drop the kept answer of a key."""
+    """Delete the stored answer of a key."""
 
     key: str
 
 
 class SendRefusal(Effect, frozen=True):
-    """Refuse a call towards its entry node."""
+    """Send the refusal of a call to its entry node."""
 
     hosted: ids.HostedId
     refusal: messages.Refusal
@@ -125,7 +125,7 @@
 
 
 class RequestLevel(Effect, frozen=True, tag="AskLevel"):
-    """Ask an upstream what it sheds at present, for calls of a kind."""
+    """Request the present level of an upstream for calls of a kind."""
 
     node: ids.NodeId
     host: str
@@ -134,7 +134,7 @@
 
 
 class ReportLevel(Effect, frozen=True, tag="TellLevel"):
-    """Answer such a question."""
+    """Answer a level request."""
 
     request: int
     report: messages.LoadReport
@@ -143,11 +143,11 @@
 class ReadLog(Effect, frozen=True):
     """Read a stream from an offset.
 
-    :param wait: wait a while for new records if there are none.
-    :param hold_ms: how long; 0 leaves it to the settings.
-    :param extra: beside the reads by which the stream is followed.
-    :param generation: of the stream; the answer to one of an earlier generation is
-        not used.
+    :param wait: long poll for new records if there are none.
+    :param long_poll_ms: for how long; 0 leaves that to the settings.
+    :param extra: in addition to the reads that follow the stream.
+    :param generation: of the stream; answers to reads of an earlier generation are
+        discarded.
     """
 
     stream: str
@@ -169,9 +169,9 @@
 
 
 class PutRecord(Effect, frozen=True):
-    """Put a record under a key, in place of the one before.
+    """Put a record under a key, replacing the one before.
 
-    :param record: empty to drop the key.
+    :param record: empty to delete the key.
     """
 
     put: int
@@ -181,7 +181,7 @@
 
 
 class FetchRoutes(Effect, frozen=True):
-    """Ask a peer for the route table that it has in force."""
+    """Fetch the route table in force of a peer."""
 
     node: ids.NodeId
     host: str
@@ -205,9 +205,9 @@
 
 
 class FetchSnapshot(Effect, frozen=True):
-    """Ask a peer for the configuration that it has in force.
+    """Fetch the configuration in force of a peer.
 
-    :param since: revision that this node has; only later changes travel.
+    :param since: revision of this node; only later changes are sent.
     """
 
     node: ids.NodeId
@@ -217,7 +217,7 @@
 
 
 class PublishEnded(Effect, frozen=True):
-    """Tell the operator how the publication ended.
+    """Report the result of a publication to the operator.
 
     :param revision: the new revision, or the one in conflict; 0 if not known.
     """
@@ -231,7 +231,7 @@
 class WriteLog(Effect, frozen=True):
     """Write a log line.
 
-    :param part: the fixed prefix of the part that speaks.
+    :param part: the fixed prefix of the part that logs.
     """
 
     level: str
@@ -240,16 +240,16 @@
 
 
 class LogDecision(Effect, frozen=True):
-    """Write the log line of a decision that touches a request.
+    """Write the log line of a decision on a request.
 
     :param part: the fixed prefix of the part that decided.
     :param request: id of the request.
-    :param upstream: the node that it was sent to, or came from.
-    :param figures: what the rule saw, by the names that ``decisions`` gives.
+    :param upstream: the node that the request was sent to, or came from.
+    :param figures: inputs of the rule, named as in ``decisions``.
     :param version: version of the routes, or revision of the documents, in force.
-    :param waited_ms: age of the request when it was decided.
-    :param status: status of the answer, 0 when there is none yet.
-    :param workspace: whose request it is; empty where nobody's.
+    :param waited_ms: age of the request at the decision.
+    :param status: status of the answer, 0 if there is none yet.
+    :param workspace: workspace that the request belongs to; empty if none.
     """
 
     part: str
--- a/src/gingerturn/internal/core/events.py
+++ b/src/gingerturn/internal/core/events.py
@@ -1,7 +1,7 @@
-"""Everything that can happen to a node, as data.
+"""Events: everything that can happen to a node, as data.
 
-Time is in every event and the only randomness is the seed of :class:`Started`,
-so a recorded trace of events gives the same effects byte for byte.
+Every event carries its time, and :class:`Started` seeds all randomness, so replaying
+a recorded trace of events gives the same effects byte for byte.
 """
 
 import msgspec
@@ -14,7 +14,7 @@
 class Event(msgspec.Struct, frozen=True, tag=True, array_like=True, gc=False):
     """Base of all events.
 
-    :param now: the time at which it happened.
+    :param now: time of the event.
     """
 
     now: ids.Milliseconds
@@ -26,11 +26,11 @@
     :param seed: seeds every random choice of this incarnation.
     :param routed: callers are served by the route table instead of naming services.
     :param keyed_log: the log keeps the newest record of each key.
-    :param retry_bound: on the retries of each service by all nodes together.
-    :param lineage: calls are tied to their parents by the ids of requests.
-    :param revoke_ms: within this time an API key that was taken away must cease to
-        work; 0 for no bound.
-    :param cap_tolerance: by how much the caps of workspaces may be passed.
+    :param retry_bound: bound on the retries of each service, summed over all nodes.
+    :param lineage: calls are linked to their parents by request ids.
+    :param revoke_ms: a revoked API key must cease to work within this time; 0 for no
+        bound.
+    :param cap_tolerance: by how much the caps of workspaces may be exceeded.
     """
 
     seed: int
@@ -52,21 +52,21 @@
 
 
 class Tick(Event, frozen=True):
-    """The timer service ticks; parts with a due subscription run."""
+    """The timer service ticks; subscriptions that are due run."""
 
 
 class CallArrived(Event, frozen=True):
-    """A caller's request has been read, whole or up to the buffer's size.
+    """A caller's request has been read, completely or up to the buffer's size.
 
-    :param replayable: the body is held whole, so that it can be sent again.
-    :param body_digest: digest of the held body; tells derived keys apart.
-    :param timeout_ms: the caller's own deadline, 0 when it names none.
-    :param holder: the node that alone may run the call, as ``node/incarnation``, when
+    :param replayable: the whole body is buffered, so it can be sent again.
+    :param body_digest: digest of the buffered body; distinguishes derived keys.
+    :param timeout_ms: the caller's own deadline, 0 if it names none.
+    :param holder: the only node that may run the call, as ``node/incarnation``, when
         its key is a ticket.
-    :param sending: 1 when the caller says that it sends this request for the first
-        time, higher for a repeat, 0 when it says nothing.
-    :param fingerprint: what is the same whenever this request is sent; 0 if not known.
-    :param key_digest: of the API key that came with it; empty where none did.
+    :param sending: 1 if the caller states that it sends this request for the first
+        time, higher for a repeat, 0 if it states neither.
+    :param fingerprint: equal for every sending of this request; 0 if not known.
+    :param key_digest: of the API key that came with it; empty without one.
     """
 
     call: ids.CallId
@@ -86,17 +86,17 @@
 
 
 class CallerGone(Event, frozen=True):
-    """The caller closed its connection before its answer was whole."""
+    """The caller closed its connection before its answer was complete."""
 
     call: ids.CallId
 
 
 class AttemptAnswered(Event, frozen=True):
-    """An upstream's answer is held whole, or its head when it is long.
+    """An upstream's answer has arrived, or its head if the answer is long.
 
     :param child_failed: a call that the backend server made for it failed, so its own
-        failure tells nothing of that upstream and another one would fail as well.
-    :param size: bytes of the call and its answer that are held; 0 if not known.
+        failure is no evidence against that upstream, and another one would fail too.
+    :param size: buffered bytes of the call and its answer; 0 if not known.
     """
 
     attempt: ids.AttemptId
@@ -108,8 +108,8 @@
 
 
 class AttemptRefused(Event, frozen=True):
-    """The home node refused; nothing was handed to its backend server, unless
-    the outcome says that this is not known.
+    """The home node refused the call without dispatching it, unless the outcome says
+    that this is not known.
     """
 
     attempt: ids.AttemptId
@@ -138,9 +138,9 @@
 
 
 class LevelRequested(Event, frozen=True, tag="LevelAsked"):
-    """A peer asks what this node sheds at present, for calls of a kind.
+    """A peer requests the present level of this node for calls of a kind.
 
-    :param question: number by which the shell pairs the answer with it.
+    :param request: number that pairs the answer with the request.
     """
 
     request: int
@@ -148,7 +148,7 @@
 
 
 class LevelReported(Event, frozen=True, tag="LevelTold"):
-    """A peer's answer to that question."""
+    """A peer's answer to a level request."""
 
     node: ids.NodeId
     kind: ids.KindName
@@ -164,9 +164,9 @@
 class BackendAnswered(Event, frozen=True):
     """The backend server answered.
 
-    :param whole: the answer is held whole; otherwise its body is being streamed
-        and :class:`BackendFinished` will follow.
-    :param executed: ``False`` when it says that it did not run the request.
+    :param whole: the answer is complete; otherwise its body is being streamed and
+        :class:`BackendFinished` will follow.
+    :param executed: ``False`` when it states that it did not run the request.
     """
 
     hosted: ids.HostedId
@@ -184,7 +184,7 @@
 class BackendFailed(Event, frozen=True):
     """The exchange with the backend server failed.
 
-    :param handed: ``False`` only when not one byte was written to it.
+    :param dispatched: ``False`` only when not one byte was written to it.
     """
 
     hosted: ids.HostedId
@@ -194,18 +194,18 @@
 class BackendChecked(Event, frozen=True):
     """A new connection to the backend server was tried after one broke under a call.
 
-    :param refused: nothing listens there any more: the backend server has ended.
+    :param refused: nothing listens there any more: the backend server has crashed.
     """
 
     refused: bool
 
 
 class BackendAnnounced(Event, frozen=True):
-    """The backend server beside this node announces itself, or renews.
+    """The backend server beside this node announces itself, or renews its announcement.
 
-    :param instance: id of this start of the backend server, if it tells one.
-    :param sequence: grows with each announcement of one instance.
-    :param started_ms: Unix time of this start; 0 when it tells none.
+    :param instance: id of this start of the backend server; empty if not announced.
+    :param sequence: increases with each announcement of one instance.
+    :param started_ms: Unix time of this start; 0 if not announced.
     """
 
     service: ids.ServiceName
@@ -224,8 +224,8 @@
 class BackendWithdrawn(Event, frozen=True):
     """The backend server is leaving: it drains and takes no new work.
 
-    :param instance: which one leaves; empty for whatever runs there.
-    :param started_ms: Unix time of the start that leaves; 0 when it tells none.
+    :param instance: which one leaves; empty for whichever runs there.
+    :param started_ms: Unix time of the start that leaves; 0 if not announced.
     """
 
     instance: str = ""
@@ -237,11 +237,12 @@
 
     :param oldest: the oldest offset that the log still holds.
     :param end: the offset after the newest record at the time of the read.
-    :param asked: when the read began; 0 if not known.
-    :param held_ms: for how long the log surely held it open, without news.
-    :param extra: it was made beside the reads by which the stream is followed.
-    :param missing: the log does not hold the offset that was asked for.
-    :param generation: as in the effect that asked for it.
+    :param requested_at: when the read began; 0 if not known.
+    :param held_open_ms: minimum time for which the log held the read open without new
+        records.
+    :param extra: the read was made in addition to those that follow the stream.
+    :param missing: the log does not hold the requested offset.
+    :param generation: as in the effect that requested the read.
     :param epoch: of the log that answered.
     """
 
@@ -261,9 +262,9 @@
 class NewestRead(Event, frozen=True):
     """The newest record of each key of a stream was read.
 
-    :param end: the offset from which to read on.
-    :param asked: when the read began; 0 if not known.
-    :param generation: as in the effect that asked for it.
+    :param end: the offset at which to continue reading.
+    :param requested_at: when the read began; 0 if not known.
+    :param generation: as in the effect that requested the read.
     :param epoch: of the log that answered.
     """
 
@@ -278,7 +279,7 @@
 class PutDone(Event, frozen=True):
     """The log acknowledged a record under a key.
 
-    :param epoch: of the log that took it.
+    :param epoch: of the log that accepted it.
     """
 
     put: int
@@ -299,7 +300,7 @@
     """A stream could not be read.
 
     :param extra: as in :class:`LogRead`.
-    :param generation: as in the effect that asked for it.
+    :param generation: as in the effect that requested the read.
     :param epoch: of the log that refused it, if one did.
     """
 
@@ -312,7 +313,7 @@
 class AppendDone(Event, frozen=True):
     """The log acknowledged an append.
 
-    :param epoch: of the log that took it.
+    :param epoch: of the log that accepted it.
     """
 
     append: int
@@ -333,7 +334,7 @@
 
 
 class DatagramReceived(Event, frozen=True):
-    """An authentic membership message arrived."""
+    """An authenticated membership message arrived."""
 
     sender: ids.NodeId
     host: str
@@ -352,7 +353,7 @@
 
 
 class RequestCleared(Event, frozen=True):
-    """An operator lets a request that is kept out run again.
+    """An operator clears a quarantined request.
 
     :param request: its fingerprint.
     """
@@ -362,19 +363,19 @@
 
 
 class SnapshotReceived(Event, frozen=True):
-    """A peer sent the configuration that it has in force."""
+    """A peer sent its configuration in force."""
 
     snapshot: messages.ConfigSnapshot
 
 
 class RoutesReceived(Event, frozen=True):
-    """A peer sent the route table that it has in force."""
+    """A peer sent its route table in force."""
 
     table: routes.RouteTable
 
 
 class SettingsChanged(Event, frozen=True):
-    """The settings were read again.
+    """The settings were reloaded.
 
     :param retry_bound: as in :class:`Started`.
     """
@@ -385,8 +386,8 @@
 class StopRequested(Event, frozen=True):
     """A planned stop of this node begins.
 
-    :param grace_ms: after this time the process ends, whatever is in flight; 0 when
-        that is not known.
+    :param grace_ms: the process is ended after this time, even with calls in flight; 0
+        if not known.
     """
 
     grace_ms: float = 0.0
--- a/src/gingerturn/internal/core/messages.py
+++ b/src/gingerturn/internal/core/messages.py
@@ -10,16 +10,16 @@
 from gingerturn.internal import checks, ids
 
 MISDIRECTED = 421
-"""Status of a backend server that is not the one meant; it has run nothing
+"""Status of a backend server that is not the intended one; nothing was run
 (RFC 9110, 15.5.20)."""
 
 
 MAX_INCARNATION = (1 << 63) - 1
-"""Incarnations travel as numbers of 64 bits."""
+"""Incarnations are encoded as signed 64-bit integers."""
 
 
 class Outcome(enum.Enum):
-    """What a caller is told when it gets no answer of the backend server."""
+    """What a caller is told about the run when the backend server gave no answer."""
 
     NOT_RUN = "not-run"
     UNKNOWN = "unknown"
@@ -27,18 +27,18 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """What rides on every answer of a home node.
+    """Load report that every answer of a home node carries.
 
     :param level: ranks below it are being shed by this node.
-    :param tree_level: ranks of children below it are being shed by a service
-        that calls of the same kind go on to.
+    :param tree_level: ranks of children below it are being shed by a service that calls
+        of the same kind go on to.
     :param load: calls running and queued.
-    :param limit: calls that the node lets run at once.
+    :param limit: calls that the node runs at once.
     :param leaving: the node takes no new work.
-    :param scarce: service that sheds most on the way of a request of the kind.
-    :param slot_ms: time for which such a request holds slots there.
-    :param scarce_level: rank below which that service sheds, as far as the node knows.
-    :param scarce_age_ms: how long ago its upstreams told that.
+    :param bottleneck: service that sheds most on the path of a request of the kind.
+    :param bottleneck_slot_ms: slot time that such a request needs there.
+    :param bottleneck_level: rank below which that service sheds, as far as known.
+    :param bottleneck_age_ms: age of that report of its upstreams.
     """
 
     level: ids.Rank
@@ -53,20 +53,20 @@
 
 
 class CallMetadata(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """What an entry node tells the home node about a call.
+    """What an entry node sends to the home node about a call.
 
-    :param deadline_ms: time left, relative so that clocks need not agree.
+    :param deadline_ms: remaining time, relative because clocks need not agree.
     :param tokens: retry tokens that the attempt takes along.
-    :param key: key to be claimed before the call is handed over; empty when the
-        call needs no claim.
-    :param repeat: an earlier sending of it, or of the request that it serves, reached
-        an upstream; what it calls counts as repeats too.
-    :param ticket: the node that alone may run it, as ``node/incarnation``, when the
-        key is a ticket; then no claim is needed.
-    :param first: no earlier sending of this request, or of the one that it serves,
+    :param key: key to be claimed before the call is dispatched; empty when the call
+        needs no claim.
+    :param never_ran: no earlier sending of this request, or of the one that it serves,
         can have run; only then may a refusal say ``not-run``.
-    :param fingerprint: what is the same whenever this request is sent; 0 if not known.
-    :param workspace: whose request it is; empty where nobody's.
+    :param ticket: the only node that may run it, as ``node/incarnation``, when the key
+        is a ticket; then no claim is needed.
+    :param repeat: an earlier sending of it, or of the request that it serves, reached
+        an upstream; the calls made for it count as repeats too.
+    :param fingerprint: equal for every sending of the request; 0 if not known.
+    :param workspace: workspace that the request belongs to; empty if none.
     """
 
     service: ids.ServiceName
@@ -92,9 +92,9 @@
 
     :param rule: number of a :class:`.decisions.Rule`.
     :param holder: node that holds the claim of the key, if another does.
-    :param arrived: the backend server itself turned the call away. Nothing ran, but
-        the call reached an upstream and counts as an attempt.
-    :param room: it did so with slots free.
+    :param reached_backend: the backend server itself turned the call away. Nothing ran,
+        but the call reached an upstream and counts as an attempt.
+    :param had_free_slots: it turned the call away with slots free.
     """
 
     rule: int
@@ -118,8 +118,8 @@
 class Member(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """One node as the others know it.
 
-    :param version: raised by the member itself with each change that it tells.
-    :param backend_started_ms: when its backend server started; 0 where that is not
+    :param version: incremented by the member itself with each change it gossips.
+    :param backend_started_ms: Unix time at which its backend server started; 0 if not
         known.
     """
 
@@ -148,13 +148,13 @@
 
 
 class BackendCrash(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """A backend server ended by itself.
+    """A crash of a backend server.
 
     :param node: the node beside it.
-    :param number: counts the ends there in this incarnation of the node.
-    :param part: an end with many requests is told in several parts.
-    :param requests: fingerprints of what was under way there.
-    :param age_ms: how long ago, so that clocks need not agree.
+    :param number: counts the crashes there in this incarnation of the node.
+    :param part: a crash with many requests is split into several parts.
+    :param requests: fingerprints of the requests that were running there.
+    :param age_ms: relative because clocks need not agree.
     """
 
     node: ids.NodeId
@@ -166,11 +166,12 @@
 
 
 class QuarantineUpdate(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """What a node holds a request for.
+    """A node's verdict on a request.
 
     :param request: its fingerprint.
-    :param ends: backend servers that ended under it; 0 when it ran to an answer.
-    :param age_ms: how long ago the latest of them ended, or it was answered.
+    :param crash_count: backend servers that crashed while running it; 0 if it was
+        answered.
+    :param age_ms: time since the latest crash, or since the answer.
     """
 
     request: int
@@ -179,9 +180,9 @@
 
 
 class QuarantineGossip(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """What rides on a membership message about requests that end backend servers.
+    """Quarantine updates carried by a membership message.
 
-    :param digest: of the requests that the sender keeps out, 32 bits.
+    :param digest: of the requests that the sender quarantines, 32 bits.
     """
 
     crashes: tuple[BackendCrash, ...] = ()
@@ -193,16 +194,16 @@
 
 
 class CapDemand(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """What a node is asked for in the name of a workspace with a cap.
+    """Demand of a node for a workspace with a cap.
 
-    Numbers are thousandths: whole numbers take a third of the bytes, and some hundred
-    such entries come to one node each second.
+    Numbers are thousandths, which encode to a third of the bytes of floats: some
+    hundred such entries reach one node each second.
 
-    :param rate_milli: requests a second.
-    :param held_milli: requests a second that it may let pass by its present lease.
-    :param need: requests that wait for a token.
-    :param spilled_milli: tokens that came in by the lease since the last question, and
-        found the bucket full.
+    :param rate_milli: requests a second received.
+    :param leased_milli: requests a second that its present lease allows.
+    :param waiting: requests that wait for a token.
+    :param overflowed_milli: leased tokens that found the bucket full since the last
+        request.
     """
 
     workspace: str
@@ -213,10 +214,11 @@
 
 
 class CapRequest(msgspec.Struct, frozen=True, array_like=True, tag="CapAsk", gc=False):
-    """A node lends its parts of all caps to the keeper, and asks for leases.
+    """A node delegates its share of all caps to the allocator and requests leases.
 
-    :param number: pairs the answer with it.
-    :param stamp: the keeper's, from when on the loan counts; 0 lends nothing.
+    :param number: pairs the answer with the request.
+    :param stamp: the allocator's, from which the delegation counts; 0 delegates
+        nothing.
     """
 
     number: int
@@ -225,11 +227,11 @@
 
 
 class CapLease(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """What a node may let pass of a workspace for one term.
+    """What a node may admit of a workspace for one term.
 
     :param rate_milli: thousandths of a request a second.
     :param tokens: for requests that wait.
-    :param short: nothing is left for now.
+    :param short: nothing is left at present.
     """
 
     workspace: str
@@ -239,11 +241,12 @@
 
 
 class CapAnswer(msgspec.Struct, frozen=True, array_like=True, tag=True, gc=False):
-    """The keeper's leases, or who keeps the caps.
+    """The allocator's leases, or which node is the allocator.
 
-    :param stamp: of its own clock, to be sent back with the next question.
-    :param keeper: node to ask instead; empty where the sender itself keeps the caps.
-    :param released: the sender did keep them, and has ended the loan.
+    :param stamp: of the sender's clock, to be returned with the next request.
+    :param allocator: node to request leases from instead; empty if the sender itself is
+        the allocator.
+    :param released: the sender was the allocator and has ended the delegation.
     """
 
     number: int
@@ -254,10 +257,10 @@
 
 
 class CapUsage(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """What was let pass of a workspace lately.
+    """What was admitted of a workspace lately.
 
-    :param first: number of the first slice of time, from the present one on.
-    :param slices_milli: thousandths of requests, slice by slice.
+    :param first: number of the first time slice, relative to the present one.
+    :param slices_milli: thousandths of requests in each slice.
     """
 
     workspace: str
@@ -266,10 +269,10 @@
 
 
 class CapHandover(msgspec.Struct, frozen=True, array_like=True, tag=True, gc=False):
-    """What a keeper that stops leaves to the next one.
+    """State that a stopping allocator hands over to the next one.
 
-    :param share: of every cap that was lent to it, in the mean of the window.
-    :param loans: nodes that lent it their parts, and for how many ms more.
+    :param share: of every cap that was delegated to it, averaged over the window.
+    :param delegations: nodes that delegated their share, and the remaining ms.
     :param used: by workspace.
     """
 
@@ -282,18 +285,19 @@
 
 
 class Gossip(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """One membership message, with member updates riding on it.
+    """One membership message, with piggybacked member updates.
 
     :param sequence: pairs an acknowledgement with its ping.
     :param target: node that an indirect probe is to reach.
     :param cursor: last node of a synchronisation page; empty at the end.
     :param revision: revision of the configuration that the sender has in force.
     :param route_version: version of the route table that it has in force.
-    :param proven_age_ms: how long ago that was certainly the newest; -1 if not known.
-    :param caps: between a node and the keeper of caps.
-    :param log_epoch: the highest epoch of the log that the sender knows.
-    :param config_digest: of the documents of that revision; 0 where nobody can have
-        others.
+    :param verified_age_ms: time since that version was last verified to be the newest;
+        -1 if not known.
+    :param caps: between a node and a cap allocator.
+    :param log_epoch: highest epoch of the log that the sender knows.
+    :param config_digest: of the documents of that revision; 0 if no other set of that
+        revision can exist.
     """
 
     kind: GossipKind
@@ -311,11 +315,11 @@
 
 
 class JoinRecord(msgspec.Struct, frozen=True, tag="join"):
-    """A node tells on the log where it can be found.
+    """Where a node can be reached, written to the log when it joins.
 
-    Others may write to the log; a record that names no place is none.
+    The log has other writers, so the fields are validated.
 
-    :raises ValueError: for a host that is no IP number.
+    :raises ValueError: if ``host`` is no IP address.
     """
 
     node: typing.Annotated[str, msgspec.Meta(min_length=1)]
@@ -342,10 +346,10 @@
 
 
 class QuarantineRecord(msgspec.Struct, frozen=True, tag="quarantine"):
-    """A request that ends backend servers is kept out.
+    """The quarantine of a request.
 
-    :param ends: how many ended under it; 0 when it is kept out no more.
-    :param at: when the latest of them ended.
+    :param ends: backend servers that crashed while running it; 0 once it is released.
+    :param at: when the latest of them crashed.
     """
 
     request: typing.Annotated[int, msgspec.Meta(ge=1, le=MAX_FINGERPRINT)]
@@ -354,7 +358,7 @@
 
 
 class ClaimRecord(msgspec.Struct, frozen=True, tag="claim"):
-    """The first claim of a key in offset order wins the right to run it."""
+    """A claim of a key; the first one in offset order wins the right to run it."""
 
     key: str
     claim: str
@@ -362,7 +366,7 @@
 
 
 class ClaimBatch(msgspec.Struct, frozen=True, tag="claims"):
-    """Claims appended together; they count in the order of the batch."""
+    """Claims appended together; they are ordered as in the batch."""
 
     claims: tuple[ClaimRecord, ...]
 
@@ -391,7 +395,7 @@
 
 
 class AuditRecord(msgspec.Struct, frozen=True, tag="audit"):
-    """One entry of the trail of changes."""
+    """One entry of the audit trail."""
 
     at: float
     who: str
@@ -423,8 +427,9 @@
 
 
 def decode_record(content: bytes) -> LogRecord | None:
-    """Return a log record, or ``None`` for bytes that are none: records of a
-    later version or of others must not stop a reader."""
+    """Return a log record, or ``None`` for bytes that are no known record: records of
+    later versions or of other writers must not stop a reader.
+    """
     try:
         return _RECORD_DECODER.decode(content)
     except (msgspec.ValidationError, msgspec.DecodeError, UnicodeDecodeError):
--- a/src/gingerturn/internal/core/state.py
+++ b/src/gingerturn/internal/core/state.py
@@ -1,4 +1,4 @@
-"""The state of one node, changed only by the reducer."""
+"""The state of one node. Only the reducer changes it."""
 
 import enum
 import math
@@ -22,20 +22,19 @@
 class Call(msgspec.Struct):
     """A call that this node accepted from a caller and has not yet answered.
 
-    Invariant: ``tokens`` are those held here; those of ``attempt`` are not
-    among them.
+    Invariant: ``tokens`` excludes the tokens held by ``attempt``.
 
-    :param repeat: it is part of a request that is run again.
+    :param repeat: the call belongs to a request that is being repeated.
     :param parent: the hosted call on whose behalf the backend server calls.
-    :param tried: upstreams that refused or lost this call.
-    :param holder: the node that alone may run it, when its key is a ticket.
-    :param first: nothing of this request can have run so far; set to ``False``
-        as soon as that is not certain, and never back.
-    :param cleared: no sending of it is open: none was made, or the last one was
-        certainly not run. Only then may a caller be told so, whatever else the state
-        says: a fault that lost an attempt must not turn into a promise.
-    :param workspace: whose request it is; empty where nobody's.
-    :param drew: it took a token of the workspace's cap.
+    :param holder: the only node that may run the call, when its key is a ticket.
+    :param never_ran: nothing of this request can have run so far; set to ``False`` as
+        soon as that is uncertain, and never set back.
+    :param attempts_settled: no attempt is open: none was made, or the last one
+        certainly did not run. The caller may be answered ``not-run`` only then, even
+        if a fault has lost the record of an attempt.
+    :param workspace: workspace that the request belongs to; empty if none.
+    :param took_cap_token: the call took a token of the workspace's cap.
+    :param tried_upstreams: upstreams that refused or lost this call.
     """
 
     id: ids.CallId
@@ -67,7 +66,7 @@
 
 
 class Attempt(msgspec.Struct):
-    """One sending of a call, until its answer or its loss."""
+    """One attempt to send a call to an upstream, until its answer or its loss."""
 
     id: ids.AttemptId
     call: ids.CallId
@@ -92,12 +91,12 @@
 
     Invariant: it occupies a slot exactly in the states CLAIMING, RUNNING and
     STREAMING. In CHECKING its connection broke, and its answer waits until it is
-    known whether the backend server ended.
+    known whether the backend server crashed.
 
-    :param occupancy: share of the slots in use when it was handed over.
-    :param orphaned: the entry node gave up, but the call may not be cancelled.
-    :param child_failed: a call that the backend server made for it failed, so its
-        own failure tells nothing of the backend server.
+    :param occupancy: share of the slots in use when the call was dispatched.
+    :param orphaned: the entry node gave up, but the call must not be cancelled.
+    :param child_failed: a call that the backend server made for this one failed, so
+        its own failure is no evidence against the backend server.
     """
 
     id: ids.HostedId
@@ -118,10 +117,11 @@
 
 
 class Window(msgspec.Struct):
-    """What one control window saw at admission.
+    """Admission statistics of one control window.
 
-    :param least_queue: least length of the queue in the window.
-    :param target_queue: a queue at least this long throughout raises the level.
+    :param least_queue: minimum queue length in the window.
+    :param target_queue: a queue at least this long for the whole window raises the
+        level.
     """
 
     ranks: list[int] = []
@@ -133,27 +133,30 @@
 
 
 class ServiceTime(msgspec.Struct):
-    """Observed time of one kind at the backend server."""
+    """Observed service time of one kind at the backend server."""
 
     mean_ms: float
     measured_at: ids.Milliseconds
 
 
 class Mean(msgspec.Struct):
-    """A mean that follows its latest values, and of how many."""
+    """A moving mean and its number of samples."""
 
     mean: float = 0.0
     count: int = 0
 
 
 class Saturation(msgspec.Struct):
-    """Times of calls by how full the backend server was when they were begun.
-
-    :param roomy: by kind, in ms, begun while there was room.
-    :param full: begun with nearly every slot taken, over what their kind takes then.
-    :param held: begun with the last slots left free and all others taken.
-    :param held_until: the last slots are left free until then.
-    :param rests_until: they are not tried again before that.
+    """Service times of calls by how busy the backend server was when they started.
+
+    :param unsaturated: mean in ms by kind, of calls started with free slots.
+    :param saturated: ratio to the unsaturated mean of the kind, of calls started with
+        nearly every slot in use.
+    :param limited: the same ratio, of calls started with all but the reserved last
+        slots in use.
+    :param limited_until: the last slots are kept free until then.
+    :param next_trial_at: earliest time of the next comparison, after a trial in which
+        the free slots made no call faster.
     """
 
     unsaturated: dict[str, Mean] = {}
@@ -173,7 +176,7 @@
 class InstanceAnnouncement(msgspec.Struct, frozen=True):
     """The latest announcement of an instance.
 
-    :param started_ms: when it had started; 0 where it tells none.
+    :param started_ms: Unix time of its start; 0 if not announced.
     """
 
     started_ms: int
@@ -187,15 +190,16 @@
     only longer than zero while ``running >= limit``.
 
     :param queue: (rank, negative arrival number, hosted id), lowest first.
-    :param started_ms: when the present instance started; 0 where it tells none.
-    :param left: instances that left, or that a call did not find any more; what still
-        arrives from the start that did is late.
-    :param replaced: instances that another one took the place of, and what was heard
-        last from each.
-    :param checking: whether it still listens is being found out.
-    :param broken: calls that broke since it last answered one.
-    :param answered: when it last answered a call.
-    :param ends: how often it ended by itself while this node ran.
+    :param started_ms: Unix time at which the present instance started; 0 if not
+        announced.
+    :param departed_instances: instances that withdrew or that a call found missing, by
+        start time; later announcements of that start are outdated.
+    :param replaced_instances: instances that another one replaced, with the latest
+        announcement of each.
+    :param check_pending: a check whether the backend server still listens is under way.
+    :param broken_calls: calls that broke since the backend server last answered one.
+    :param answered_at: when it last answered a call.
+    :param crash_count: number of its crashes while this node ran.
     """
 
     service: ids.ServiceName = ids.ServiceName("")
@@ -228,27 +232,27 @@
 
 
 class ReportedLevel(msgspec.Struct, frozen=True, gc=False):
-    """A level that an answer told, and when."""
+    """A reported level and when it was reported."""
 
     level: ids.Rank
     reported_at: ids.Milliseconds
 
 
 LEVEL_AGE_BUCKETS = 7
-"""Five bounded ages, older ones, and no word at all."""
+"""Five bounded age ranges, one for older reports and one for no report."""
 
 NO_REPORTED_LEVEL = ReportedLevel(level=ranks.LOWEST, reported_at=0.0)
-"""Nothing was ever told."""
+"""Stands for a service that never reported a level."""
 
 
 class ServiceLevel(msgspec.Struct):
-    """What the upstreams of a service told of lately.
+    """The levels that the upstreams of a service reported lately.
 
-    :param told: by upstream, the longest ago first.
-    :param ranked: the same levels, the lowest first.
-    :param level: median of it; kept when all of it is too old.
-    :param heard: when the latest was told.
-    :param asked: when some upstreams were last asked for it.
+    :param by_upstream: reported levels, the oldest first.
+    :param sorted_levels: the same levels in ascending order.
+    :param level: median of these; kept once all of them have expired.
+    :param reported_at: when the latest was reported.
+    :param requested_at: when reports were last requested.
     """
 
     by_upstream: dict[str, ReportedLevel]
@@ -259,9 +263,9 @@
 
 
 class Trend(msgspec.Struct):
-    """How the level of a service moves.
+    """How the level of a service changes over time.
 
-    :param at: when ``level`` was seen; ``slope`` is per ms, up to then.
+    :param updated_at: when ``level`` was observed; ``slope`` is per ms, up to then.
     """
 
     updated_at: ids.Milliseconds
@@ -270,25 +274,28 @@
 
 
 class TreeCost(msgspec.Struct):
-    """What a request of a kind takes of the scarcest service on its way."""
+    """Slot time that a request of a kind needs of its bottleneck service."""
 
     service: ids.ServiceName
     slot_ms: float
 
 
 class Fanout(msgspec.Struct):
-    """How many calls a run of a kind makes, by service and kind of the call."""
+    """How many calls a run of a kind makes.
+
+    :param calls: by service and kind of the called.
+    """
 
     runs: float = 0.0
     calls: dict[tuple[ids.ServiceName, ids.KindName], float] = {}
 
 
 class Costs(msgspec.Struct):
-    """What this node knows of the costs of kinds.
+    """Costs of kinds, as far as this node knows them.
 
-    :param told: by home nodes, for the kinds that this node sends.
-    :param own: of kinds that run here, and when it was worked out.
-    :param roots: importance of the kinds of whole requests that come here.
+    :param reported: reported by home nodes, for the kinds that this node sends.
+    :param local: of kinds that run here, with the time of the calculation.
+    :param root_importance: importance of the kinds of whole requests that arrive here.
     """
 
     reported: dict[str, TreeCost] = {}
@@ -298,9 +305,9 @@
 
 
 class KindTraffic(msgspec.Struct):
-    """What calls of a kind are like that this node sends: means over the latest.
+    """Moving means over the latest calls of a kind that this node sent.
 
-    :param elapsed: from sending to the answer.
+    :param elapsed: ms from sending to the answer.
     :param size: bytes of call and answer.
     """
 
@@ -309,15 +316,15 @@
 
 
 class Upstream(msgspec.Struct):
-    """What this node knows of an upstream that it has called.
+    """Statistics of an upstream that this node has called.
 
     :param outstanding: attempts of this node in flight there.
-    :param failures: calls lost there since the last answer.
-    :param error: share of the latest answers that were failures of its own.
+    :param sent_since_report: attempts sent since the last load report.
+    :param load_reported_at: when its last load report arrived.
+    :param consecutive_failures: calls lost there since its last answer.
+    :param error_rate: share of its latest answers that were failures of its own.
     :param slowness: time of its answers over the mean of their kinds.
-    :param timed: when that was measured.
-    :param since_report: attempts sent since the last load report.
-    :param answered: when its last load report came.
+    :param slowness_measured_at: when ``slowness`` was last measured.
     """
 
     node: ids.NodeId
@@ -336,18 +343,18 @@
 
 
 class Occupancy(msgspec.Struct):
-    """Mean part of their limit that upstreams said was taken."""
+    """Mean share of their limit that upstreams reported to be in use."""
 
     mean: float
     reported_at: ids.Milliseconds
 
 
 class Pool(msgspec.Struct):
-    """The upstreams of a service that are healthy, as long as nothing changes.
+    """The healthy upstreams of a service, cached until something changes.
 
-    :param near: those in the own zone.
-    :param version: of the membership that it was made from.
-    :param until: when a suspicion or an ejection among them changes by itself.
+    :param same_zone: those in the zone of this node.
+    :param version: of the membership from which the pool was built.
+    :param valid_until: when a suspicion or an ejection among them next expires.
     """
 
     nodes: list[ids.NodeId]
@@ -357,11 +364,13 @@
 
 
 class Probe(msgspec.Struct):
-    """A ping whose acknowledgement is awaited.
+    """A ping whose acknowledgement is pending.
 
-    :param sent: from when its answer is missed; later than ``asked`` where this node
-        stood still meanwhile.
-    :param asked: when it was sent.
+    :param timeout_base: when the timeout starts to count; later than ``sent_at`` if
+        this process was paused meanwhile.
+    :param indirect: a ping through other members has been requested.
+    :param for_host: where to relay the acknowledgement, if the ping was requested by
+        another member.
     """
 
     node: ids.NodeId
@@ -374,14 +383,13 @@
 
 
 class MemberOrder(msgspec.Struct):
-    """The members that are not suspected, by :func:`.member_order.place`.
-
-    :param owners: all members that did not leave, also those that cannot be reached.
-    :param keepers: the first ones by another order.
+    """The members that are not suspected, by :func:`.member_order.sort_key`.
 
-    :param zone: those in the own zone, with this node.
-    :param index: of this node among them.
-    :param version: of the membership that it was made from.
+    :param zone: those in the zone of this node, including this node.
+    :param index: of this node in ``zone``.
+    :param cap_sharers: number of members that did not leave, reachable or not.
+    :param cap_allocators: the first members in a second order.
+    :param version: of the membership from which the order was built.
     """
 
     first: ids.NodeId
@@ -393,18 +401,19 @@
 
 
 class Freshness(msgspec.Struct):
-    """What proves that the route table in force is the newest; see :mod:`.freshness`.
-
-    :param revoke_ms: within this time a key that was taken away must cease to work;
-        0 where operators set no bound.
-    :param proven: when the table in force was certainly the newest; 0 if never.
-    :param asked: when a member was last asked.
-    :param questions: how often one was.
-    :param closed: it was written that no key is let in.
-    :param reading: an extra read of the log is under way.
-    :param read_again: not before this.
-    :param shown: the latest version that the log showed since it was last restored from
-        a backup.
+    """Evidence that the route table is current; see :mod:`.freshness`.
+
+    :param revoke_ms: a revoked API key must cease to work within this time; 0 if
+        operators set no bound.
+    :param verified_at: when the table in force was last verified to be the newest; 0 if
+        never.
+    :param queried_at: when a member was last queried.
+    :param query_count: number of such queries.
+    :param closed_logged: it has been logged that all API keys are refused.
+    :param extra_read_pending: an extra read of the log is under way.
+    :param next_read_at: earliest time of the next extra read.
+    :param highest_log_version: highest version read from the log since it was last
+        restored from a backup.
     """
 
     revoke_ms: ids.Milliseconds = 0.0
@@ -418,18 +427,19 @@
 
 
 class Bucket(msgspec.Struct):
-    """Tokens of a workspace at this node; see :mod:`.cap_buckets`.
-
-    :param filled: up to when what came in has been added.
-    :param rate_milli: thousandths of a token a second, by the lease.
-    :param lease_until: when the lease ends; 0 where there never was one.
-    :param short: the keeper had no token left.
-    :param told: when it last said whether it had.
-    :param spilled: tokens of the lease that found it full.
-    :param demand: requests a second asked for here.
-    :param count: requests since ``counted_from``.
-    :param drawn: when the latest came.
-    :param promised: when the token comes in that the last refused caller was told of.
+    """Token bucket of a workspace at this node; see :mod:`.cap_buckets`.
+
+    :param refilled_at: up to when tokens have been added.
+    :param rate_milli: leased rate in thousandths of a token a second.
+    :param lease_until: when the lease ends; 0 if there never was one.
+    :param short: the allocator reported that it had no token left.
+    :param short_reported_at: when the allocator last reported whether it was short.
+    :param overflowed: leased tokens that found the bucket full.
+    :param demand: requests a second received here.
+    :param request_count: requests since ``counted_from``.
+    :param last_request_at: when the latest request arrived.
+    :param promised_token_at: when the token becomes available that the retry delay of
+        the latest refused caller refers to.
     """
 
     refilled_at: ids.Milliseconds
@@ -447,28 +457,29 @@
 
 
 class WorkspaceUsage(msgspec.Struct):
-    """Whole requests of a workspace at this node, since its start."""
+    """Whole requests of a workspace at this node since its start."""
 
     admitted: int = 0
     refused: int = 0
 
 
 class Caps(msgspec.Struct):
-    """What this node uses of workspaces' caps; see :mod:`.caps`.
-
-    :param keeper: node that was asked last.
-    :param stamp: the latest of that keeper; 0 before its first answer.
-    :param number: of the latest question.
-    :param open: questions without an answer, and when they were put.
-    :param asked: when the latest question was put.
-    :param renewed: when it was last asked for all workspaces.
-    :param silent_since: when the first was put that the keeper has not answered; 0 if
-        it has answered since.
-    :param handed_over: this node kept the caps and left them to another, as it stops.
-    :param lent_to: keeper to whom the own parts are lent until ``lent_until``.
-    :param passed_over: nodes that are not asked, and until when.
-    :param held: calls that wait for a token, and until when.
-    :param use: by workspace, for the metrics; bounded.
+    """Use of workspaces' caps at this node; see :mod:`.caps`.
+
+    :param allocator: the cap allocator that was last asked for leases.
+    :param stamp: latest stamp of that allocator; 0 before its first answer.
+    :param request_number: of the latest request for leases.
+    :param pending_requests: unanswered requests and when each was sent.
+    :param requested_at: when the latest request was sent.
+    :param renewed_at: when leases of all workspaces were last requested.
+    :param unanswered_since: when the oldest unanswered request to the allocator was
+        sent; 0 if the allocator has answered since.
+    :param handed_over: this node was an allocator and handed over as it stops.
+    :param delegated_to: allocator to which this node has delegated its share until
+        ``delegated_until``.
+    :param skipped_nodes: nodes that are not asked, and until when.
+    :param waiting_calls: calls that wait for a token, and until when.
+    :param usage: by workspace, for the metrics; bounded.
     """
 
     buckets: dict[str, Bucket] = {}
@@ -488,11 +499,11 @@
 
 
 class CapGrant(msgspec.Struct, frozen=True):
-    """What the keeper knows of one node's use of a cap.
+    """What the allocator knows of one node's use of a cap.
 
-    :param demand: requests a second asked for there.
-    :param rate_milli: thousandths of a request a second that it is leased.
-    :param depth: requests at once that its bucket holds.
+    :param demand: requests a second received there.
+    :param rate_milli: leased rate in thousandths of a request a second.
+    :param depth: burst size of its bucket in requests.
     """
 
     demand: float
@@ -502,9 +513,9 @@
 
 
 class CapWindow(msgspec.Struct):
-    """Requests of a cap that were let pass lately, by slice of time.
+    """Requests admitted under a cap in the current window, by time slice.
 
-    :param total: what the cap allowed in a window when it was last looked at.
+    :param total: what the cap allowed in a window at the last update.
     """
 
     total: float = 0.0
@@ -512,13 +523,13 @@
 
 
 class CapAllocator(msgspec.Struct):
-    """What this node leases as the keeper of caps; see :mod:`.cap_keeper`.
+    """Leases that this node grants as cap allocator; see :mod:`.cap_allocator`.
 
-    :param loans: nodes that lent it their parts, and until when.
+    :param delegations: nodes that delegated their share to it, and until when.
     :param grants: by workspace and node.
-    :param windows: by workspace, what was let pass.
-    :param share: of every cap that it may give.
-    :param shares: share that was lent to it, by slice of time.
+    :param windows: by workspace.
+    :param delegated_share: share of every cap that it may grant.
+    :param delegated_shares: share that was delegated to it, by time slice.
     """
 
     delegations: dict[ids.NodeId, ids.Milliseconds] = {}
@@ -532,17 +543,18 @@
     """The members as this node knows them.
 
     :param by_service: live members offering a service.
-    :param version: raised with each change that bears on which upstreams are healthy.
-    :param doubted: suspected by the own probes, though they answered calls of late.
-    :param rumours: updates that are still passed on.
-    :param unmet: nodes that joined by the log and were not heard of since, and how
-        often each was contacted.
-    :param join_put: number under which the own join record is being put; 0 once it
-        is acknowledged.
-    :param listed: the members on the log have been read.
-    :param heard: when the last datagram of a member came.
-    :param left: members that left by a planned stop, by incarnation.
-    :param ordered: what follows from all this, until it changes.
+    :param version: incremented by each change that affects which upstreams are healthy.
+    :param pending_updates: updates that are still to be gossiped.
+    :param doubted: members that this node's probes suspect although they answered calls
+        lately.
+    :param uncontacted: nodes that joined by the log and sent no datagram since, with
+        the number of times each was contacted.
+    :param join_put_number: number of the pending put of this node's join record; 0 once
+        it is acknowledged.
+    :param members_listed: the members on the log have been read.
+    :param last_datagram_at: when the last datagram of a member arrived.
+    :param departed: members that left by a planned stop, by incarnation.
+    :param order_cache: derived from the members; valid for its own version only.
     """
 
     self_member: messages.Member | None = None
@@ -570,15 +582,15 @@
 
 
 class LogHistory(msgspec.Struct):
-    """What this node knows of the log's epoch; see :mod:`.log_epochs`.
+    """The log's epochs, as far as this node knows them; see :mod:`.log_epochs`.
 
     Invariant: ``highest`` never goes down, and ``epoch`` is no higher.
 
-    :param epoch: that of the log as it answers this node; 0 before it told one.
-    :param highest: the highest that the log or a member told.
-    :param lower: answers in a row that told of an earlier one.
-    :param saw_none: the log was read from while it told none.
-    :param restores: how often it was restored from a backup while this node ran.
+    :param epoch: epoch in which the log answers this node; 0 before it reported one.
+    :param highest: highest epoch that the log or a member reported.
+    :param lower_epoch_answers: consecutive answers with a lower epoch.
+    :param read_without_epoch: the log was read while it reported no epoch.
+    :param restores: restores of the log from a backup while this node ran.
     """
 
     epoch: ids.LogEpoch = ids.LogEpoch(0)
@@ -594,22 +606,23 @@
 
 
 class Stream(msgspec.Struct):
-    """Where this node stands in a stream of the log.
-
-    :param fresh: when the last successful read began to be answered.
-    :param covered_from: keys minted before this may have been claimed in records
-        that this node missed.
-    :param keyed: the log keeps the newest record of each key of it, so that reading
-        begins with those and not with the oldest record.
-    :param based: those have been read.
-    :param followed: records are read as they come.
-    :param outdated: the read under way began too early to tell what is asked for.
-    :param hold_ms: how long the log holds a read open for news; 0 leaves it to the
-        settings.
-    :param generation: how often reading began anew; answers to earlier reads are not
-        used.
-    :param missing: reads in a row whose offset the log did not hold.
-    :param missing_total: such reads since the start.
+    """The position of this node in a stream of the log.
+
+    :param keyed: the log keeps the newest record of each key of the stream, so reading
+        starts with a base read and not with the oldest record.
+    :param base_read: the newest record of each key has been read.
+    :param followed: records are read as they arrive.
+    :param outdated: the read under way began too early to include the records that are
+        waited for.
+    :param long_poll_ms: how long the log holds a read open for new records; 0 leaves
+        that to the settings.
+    :param current_as_of: when the last successful read was answered.
+    :param covered_from: keys issued before this may have been claimed in records that
+        this node missed.
+    :param generation: number of restarts of reading; answers to earlier reads are
+        discarded.
+    :param consecutive_missing: consecutive reads whose offset the log did not hold.
+    :param missing_total: number of such reads since the start.
     """
 
     name: str
@@ -631,7 +644,7 @@
 
 
 class KeyPhase(enum.Enum):
-    """What this node knows of a key."""
+    """Phases of a key at this node."""
 
     CLAIMING = "claiming"
     OURS_IDLE = "ours-idle"
@@ -643,13 +656,15 @@
 class KeyEntry(msgspec.Struct):
     """One key of an unrepeatable call at its home node.
 
-    Invariant: HandOver is only ever emitted on the change to OURS_RUNNING, and
-    no change leads from OURS_DONE to another phase. From OURS_RUNNING the only
-    way back is a failure before one byte was written to the backend server.
+    Invariant: DispatchCall is only emitted on the change to OURS_RUNNING, and no
+    change leads from OURS_DONE to another phase. OURS_RUNNING is only reverted by a
+    failure before one byte was written to the backend server.
 
     :param claim: this node's own claim.
     :param holder: the node whose claim came first, as ``node/incarnation``.
-    :param certain: the run ended with an answer; otherwise its end is not known.
+    :param answer_stored: the answer is stored for repeats of the key.
+    :param outcome_known: the run ended with an answer; otherwise its outcome is
+        unknown.
     """
 
     key: str
@@ -664,22 +679,22 @@
 
 
 class KnownCrash(msgspec.Struct, frozen=True):
-    """A backend server that ended by itself, and when."""
+    """A crash of a backend server and when it happened."""
 
     crash: messages.BackendCrash
     crashed_at: ids.Milliseconds
 
     @property
     def requests(self) -> tuple[int, ...]:
-        """Fingerprints of what was under way there."""
+        """Fingerprints of the requests that were running there."""
         return self.crash.requests
 
 
 class QuarantineEntry(msgspec.Struct, frozen=True):
-    """Why a request is kept out.
+    """Why a request is quarantined.
 
-    :param ends: backend servers that ended under it.
-    :param at: when the latest of them did.
+    :param crash_count: backend servers that crashed while running it.
+    :param last_crash_at: when the latest of them crashed.
     """
 
     crash_count: int
@@ -687,26 +702,26 @@
 
 
 class Trial(msgspec.Struct, frozen=True):
-    """The one call of a request that is kept out which ran all the same, and when."""
+    """The one call of a quarantined request that was run as a trial."""
 
     hosted: ids.HostedId
     started_at: ids.Milliseconds
 
 
 class Quarantine(msgspec.Struct):
-    """What is known of requests, by fingerprint, that end backend servers.
-
-    :param ends: by node, incarnation, number and part.
-    :param told: kept out by the word of other nodes or of the log.
-    :param cleared: when each was last known to have run to an answer.
-    :param kept_out: what follows from these.
-    :param suspects: under way in more than one end, and not cleared since.
-    :param digest: of ``kept_out``, to be compared with other nodes.
-    :param runs: what ran to an answer here lately, the longest ago first.
-    :param trials: the latest one here of each that is kept out.
-    :param saving: by the number of the record that is being put on the log.
-    :param unsaved: those whose record the log did not take.
-    :param saved: those whose record it took from this node.
+    """Requests, by fingerprint, that may crash backend servers.
+
+    :param crashes: by node, incarnation, number and part.
+    :param reported: entries reported by other nodes or read from the log.
+    :param cleared_at: when each request was last known to have been answered.
+    :param quarantined: derived from the fields above.
+    :param suspects: requests that ran in several crashes and were not cleared since.
+    :param digest: of ``quarantined``, for comparison with other nodes.
+    :param recent_runs: requests that were answered here lately, the oldest first.
+    :param trials: the latest trial here of each quarantined request.
+    :param pending_saves: requests by the number of the write of their record.
+    :param unsaved: requests whose record the log did not accept.
+    :param saved: requests whose record the log accepted from this node.
     """
 
     crashes: dict[str, KnownCrash] = {}
@@ -730,7 +745,7 @@
 
 
 class Publication(msgspec.Struct):
-    """A publication that this node appended and whose fate is not yet read."""
+    """A publication that this node appended and has not yet read back."""
 
     request: str
     id: str
@@ -746,11 +761,11 @@
     Invariant: ``revision`` never goes down.
 
     :param changed: revision at which each team's document last changed.
-    :param seen: ids of publications already decided, newest last.
-    :param based: the accepted set is complete up to ``revision``; a reader that
-        begins in a log trimmed by retention is not, until it has a snapshot.
-    :param undecided: publications read before that, decided after it.
-    :param fetch_whole: a peer's difference did not lead to its digest.
+    :param decided_ids: ids of publications already decided, newest last.
+    :param complete: the accepted set is complete up to ``revision``. It is not for a
+        reader that starts in a log trimmed by retention, until it has a snapshot.
+    :param undecided: publications read while the set was incomplete, decided later.
+    :param fetch_whole: a difference fetched from a peer did not lead to its digest.
     """
 
     revision: ids.Revision = ids.Revision(0)
@@ -788,32 +803,31 @@
         self.hosted_by_span: dict[ids.SpanId, ids.HostedId] = {}
         self.backend = Backend()
         self.upstreams: dict[ids.NodeId, Upstream] = {}
-        # Told levels by service and kind; with no kind, the service's own.
+        # Reported levels by service and kind; an empty kind is the service's own.
         self.levels: dict[tuple[str, str], ServiceLevel] = {}
-        # Whole requests by the age of the word that decided on them.
+        # Number of whole requests by the age of the reported level they were judged by.
         self.level_age_counts = [0] * LEVEL_AGE_BUCKETS
-        # The latest word on a service that nodes passed on which call it.
+        # Latest level of a service as relayed by nodes that call it.
         self.relayed_levels: dict[ids.ServiceName, ReportedLevel] = {}
-        # Mean occupancy that upstreams told, by service and whether of the own zone.
+        # Mean reported occupancy by service and by whether in the zone of this node.
         self.occupancies: dict[tuple[ids.ServiceName, bool], Occupancy] = {}
         self.pools: dict[ids.ServiceName, Pool] = {}
-        # The highest rank that no upstream took a moment ago, by service, kind and
-        # depth: what ranks lower need not be tried upstream by upstream.
+        # Highest rank for which no upstream was found lately, by service, kind and
+        # depth. Calls of lower rank are refused without trying each upstream.
         self.refused_ranks: dict[tuple[str, str, int], int] = {}
         self.refused_since: ids.Milliseconds = 0.0
         self.budgets: dict[ids.ServiceName, allowance.Budget] = {}
         self.costs = Costs()
         self.traffic: dict[str, KindTraffic] = {}
-        # Mean size of all calls that this node sends.
+        # In bytes, over all calls that this node sends.
         self.mean_call_size = 0.0
         # Mean time of answered whole requests, by kind.
         self.mean_answer_ms: dict[str, ids.Milliseconds] = {}
         self.trends: dict[ids.ServiceName, Trend] = {}
         self.child_kinds: dict[str, dict[tuple[str, str], ids.Milliseconds]] = {}
-        # Calls that wait for the first upstream of their service, and until when.
+        # Calls that wait for the first upstream of their service, with their timeouts.
         self.waiting_calls: dict[ids.CallId, ids.Milliseconds] = {}
         self.started_at: ids.Milliseconds = 0.0
-        # When the timer service last ran.
         self.last_tick_at: ids.Milliseconds = 0.0
         self.deadlines: list[tuple[ids.Milliseconds, int, int]] = []
         self.membership = Membership()
@@ -833,13 +847,13 @@
         self.retry_bound: allowance.Bound | None = None
         self.routes: routes.RouteIndex | None = None
         self.routes_fetched_at: ids.Milliseconds = 0.0
-        # The latest version that a member told of.
+        # Highest version that a member reported.
         self.highest_routes_version = 0
         self.freshness = Freshness()
         self.caps = Caps()
         self.cap_allocator = CapAllocator()
         self.cap_tolerance = tolerance.DEFAULT
-        # Credit of each service of a split route, for the weighted turn.
+        # Credit of each service of a split route, for weighted round robin.
         self.split_credits: dict[str, dict[str, float]] = {}
         self.decisions = decisions.DecisionLog(node=node, size=decision_count)
         self.timers: list[Timer] = []
@@ -867,16 +881,16 @@
         return self.revisions.revision
 
     def next_number(self) -> int:
-        """Return a number never given before in this incarnation."""
+        """Return a number that is unique in this incarnation."""
         self.counter += 1
         return self.counter
 
     def next_span(self) -> ids.SpanId:
-        """Return a fresh span id."""
+        """Return a new span id."""
         return ids.SpanId(f"{self.random.getrandbits(64) | 1:016x}")
 
     def dump(self) -> bytes:
-        """Return the state as JSON, for people and for comparing two replays."""
+        """Return the state as JSON, for debugging and for comparing two replays."""
         parts = {
             name: value for name, value in vars(self).items() if name not in _NOT_DUMPED
         }
@@ -886,7 +900,7 @@
 
 
 class Timer(msgspec.Struct):
-    """A part's subscription to the timer service."""
+    """A subscription to the timer service."""
 
     name: str
     period: ids.Milliseconds
@@ -911,4 +925,4 @@
 
 
 Effects = list[effects.Effect]
-"""The effects of one event, in the order in which they are to be carried out."""
+"""The effects of one event, in the order of execution."""
