--- a/src/gingerturn/internal/core/decisions.py
+++ b/src/gingerturn/internal/core/decisions.py
@@ -1,9 +1,7 @@
-"""Decision records: a fixed amount of memory, answered by ``gingerturn why``.
+"""Decision records in a fixed amount of memory, queried by ``gingerturn why``.
 
-Two rings hold packed records. Refusals have a ring of their own, since at the
-design size admissions outnumber them and would push them out within minutes.
-Records are packed rather than kept as objects: 64 bytes instead of about 300,
-so that 65,536 of them cost 4 MB.
+Two rings hold packed records of 64 bytes, so 65,536 records take 4 MB. Refusals have
+a ring of their own: admissions outnumber them and would evict them within minutes.
 """
 
 import enum
@@ -22,7 +20,7 @@
 
 
 class Rule(enum.IntEnum):
-    """The rule that decided."""
+    """The rule that made a decision."""
 
     SENT = 1
     LEVEL = 2
@@ -68,7 +66,7 @@
 
 
 def is_failure(rule: int, status: int) -> bool:
-    """Tell whether a request fails, is sent again or goes elsewhere by a decision.
+    """Whether a decision fails, retries or redirects a request.
 
     :param rule: number of a :class:`Rule`.
     """
@@ -76,12 +74,12 @@
 
 
 def description_of(rule: Rule) -> str:
-    """Return a rule as a sentence."""
-    return _WORDS[rule]
+    """Return the description of a rule as a sentence."""
+    return _DESCRIPTIONS[rule]
 
 
 def named_figures(rule: Rule, figures: tuple[float, ...]) -> dict[str, float]:
-    """Return what a rule saw, by name."""
+    """Return the inputs of a rule by name."""
     names = _FIGURES.get(rule, ())
     pairs = zip(names, figures, strict=False)
     return {name: round(value, 3) for name, value in pairs if name}
@@ -110,8 +108,8 @@
     Rule.QUEUE_EXPIRED: ("running", "limit", "queued", "ms waited"),
 }
 
-_WORDS = {
-    Rule.SENT: "The upstream's answer is passed on.",
+_DESCRIPTIONS = {
+    Rule.SENT: "The upstream's answer was relayed to the caller.",
     Rule.LEVEL: (
         "Refused before any work: the service, or one that its calls go on to, sheds"
         " calls of this rank at present."
@@ -136,14 +134,14 @@
     ),
     Rule.RETRY_NO_UPSTREAM: "Not sent again: no other upstream would take it.",
     Rule.OUTCOME_UNKNOWN: (
-        "Answered as unknown: it was handed over and nothing is known of its end;"
-        " it may not be repeated."
+        "Answered as unknown: the call was dispatched, its outcome is not known, and it"
+        " must not be repeated."
     ),
     Rule.CALLER_GONE: "Cancelled: the caller went away.",
     Rule.DEADLINE_PASSED: "Given up: the deadline passed.",
-    Rule.REDIRECTED: "Offered to another node: the one before did not run it.",
-    Rule.RUN: "Handed to the backend server.",
-    Rule.QUEUED: "Queued: every slot within the limit is taken.",
+    Rule.REDIRECTED: "Sent to another node: the previous one did not run it.",
+    Rule.RUN: "Dispatched to the backend server.",
+    Rule.QUEUED: "Queued: every slot within the limit is in use.",
     Rule.QUEUE_FULL: "Shed: the queue was full and this call ranked lowest in it.",
     Rule.QUEUE_EXPIRED: "Dropped from the queue: it could no longer finish in time.",
     Rule.LEAVING: "Refused: the backend server is leaving and takes no new work.",
@@ -153,52 +151,53 @@
         "Refused: the claim of the key could not be confirmed on the log."
     ),
     Rule.KEY_INVALID: (
-        "Refused: the key is no UUIDv7, or its time is outside the window that the"
-        " log remembers."
+        "Refused: the key is not a UUIDv7, or its time is outside the window that the"
+        " log covers."
     ),
     Rule.ALREADY_RUN: "Not run: the call of this key has run already.",
-    Rule.JOINED_FIRST: "Not run twice: it waits for the first call with this key.",
+    Rule.JOINED_FIRST: "Not run: it waits for the first call with this key.",
     Rule.BACKEND_UNREACHABLE: (
-        "Refused: the backend server could not be reached; nothing was handed over."
+        "Refused: the backend server could not be reached; nothing was dispatched."
     ),
     Rule.STOPPING: "Refused: this node is stopping.",
     Rule.BACKEND_REFUSED: (
-        "Refused: the backend server turned the call away without running it."
+        "Refused: the backend server rejected the call without running it."
     ),
     Rule.BACKEND_ENDED: (
-        "Answered as unknown: the backend server ended while it worked on the call."
+        "Answered as unknown: the backend server crashed while running the call."
     ),
     Rule.QUARANTINED: (
-        "Kept out: backend servers ended while they ran this very request, under"
-        " whatever id."
+        "Quarantined: backend servers crashed while running this request, whatever its"
+        " id."
     ),
     Rule.NO_ROUTE: "Refused: the route table has no route for this host and path.",
     Rule.NO_CONFIGURATION: "Refused: this node has no configuration yet.",
     Rule.KEY_UNKNOWN: (
-        "Refused: the request came with no API key, or with one that no workspace has."
+        "Refused: the request has no API key, or one that belongs to no workspace."
     ),
     Rule.KEY_UNSETTLED: (
-        "Refused: no workspace has its API key, but a later configuration, which this"
-        " node is fetching, may."
+        "Refused: the API key belongs to no workspace, but may in a later configuration"
+        " that this node is fetching."
     ),
     Rule.KEYS_STALE: (
-        "Refused: this node has not heard for too long that its configuration is the"
-        " newest; API keys may have been taken away."
+        "Refused: this node could not verify for too long that its configuration is the"
+        " newest; API keys may have been revoked."
     ),
     Rule.PARENT_UNKNOWN: (
-        "Refused: it says that it is part of a request that does not run here, and came"
-        " with no API key of its own."
+        "Refused: the request names a parent that does not run here, and has no API key"
+        " of its own."
     ),
-    Rule.OVER_CAP: "Refused: the workspace has used what it may use at present.",
+    Rule.OVER_CAP: "Refused: the workspace has reached its usage cap.",
 }
 
 
 class Decision(msgspec.Struct, frozen=True):
-    """One decision as it is told to people.
+    """One decision, as the administration API returns it.
 
-    :param id: what an answer carries in ``Gingerturn-Decision``.
+    :param id: as sent in the header ``Gingerturn-Decision``.
     :param time: milliseconds since the epoch.
-    :param figures: what the rule saw, by name.
+    :param words: description of the rule.
+    :param figures: inputs of the rule, by name.
     """
 
     id: str
@@ -213,7 +212,7 @@
 
 
 class _Ring:
-    """Packed records by sequence number; the oldest is overwritten."""
+    """Packed records by sequence number; new records overwrite the oldest."""
 
     def __init__(self, size: int) -> None:
         self._size = size
@@ -232,8 +231,8 @@
 class DecisionLog:
     """The decisions of one node.
 
-    Invariant: a sequence number is odd exactly for refusals, so that an id alone
-    tells which ring holds it.
+    Invariant: a sequence number is odd exactly for refusals, so an id alone identifies
+    the ring that holds it.
 
     :param node: the node, first part of each id.
     :param size: records kept in each ring.
@@ -258,7 +257,7 @@
         revision: ids.Revision,
         figures: tuple[float, ...] = (),
     ) -> str:
-        """Keep a decision and return its id."""
+        """Store a decision and return its id."""
         refusal = rule in REFUSALS
         self._next += 1
         sequence = self._next * 2 + refusal
@@ -269,7 +268,7 @@
         return f"{self._node}:{sequence:x}"
 
     def find(self, decision_id: str) -> Decision | None:
-        """Return a decision, or ``None`` when it is not held (any more)."""
+        """Return a decision, or ``None`` if it is unknown or was overwritten."""
         node, _, digits = decision_id.rpartition(":")
         if node != self._node:
             return None
@@ -281,9 +280,9 @@
         record = ring.read(sequence)
         if record is None or sequence <= 0:
             return None
-        return self._told(decision_id, record)
+        return self._unpack(decision_id, record)
 
-    def _told(self, decision_id: str, record: tuple[float, ...]) -> Decision:
+    def _unpack(self, decision_id: str, record: tuple[float, ...]) -> Decision:
         _, time, root, rule_number, kind, rank, *rest = record
         rule = Rule(int(rule_number))
         names = _FIGURES.get(rule, ("", "", "", ""))
@@ -297,7 +296,7 @@
             rule=rule.name.lower().replace("_", "-"),
             kind=self._kinds[int(kind)],
             rank=ranks.describe(int(rank)),
-            words=_WORDS[rule],
+            words=_DESCRIPTIONS[rule],
             figures=figures,
             revision=int(rest[4]),
         )
