--- a/src/gingerturn/internal/core/reducer.py
+++ b/src/gingerturn/internal/core/reducer.py
@@ -47,27 +47,27 @@
 
 SLOW_CHECK_MS = 1_000.0
 STOP_LINGER_MS = 1_500.0
-"""A stopping node stays this long to refuse what is already on its way to it: a
-connection closed under such a call would leave its outcome unknown. Departure is
-told at once and reaches every entry within a few rounds of gossip."""
+"""A stopping node stays this long to refuse calls that are already on their way: a
+connection closed under such a call would leave its outcome unknown. The departure is
+gossiped at once and reaches every entry node within a few rounds."""
 
 ROUTED_LINGER_MS = 3_000.0
-"""Where callers are led to nodes by readiness, a stopping node goes on serving them
-this long: two missed checks a second apart, and some time for what is under way. Until
-the last :data:`STOP_LINGER_MS` of it the backend server beside it, which does not stop,
-gets work as before: no other node can reach it."""
+"""Where callers find nodes by readiness checks, a stopping node continues to serve them
+this long: two failed checks a second apart, and time for calls in flight. Until the
+last :data:`STOP_LINGER_MS` of it, calls are still dispatched to the backend server
+beside it, which does not stop and which no other node can reach."""
 
-LAST_ANSWERS_MS = 500.0
-"""Before the end of its grace a node answers what it still holds: a caller that is
-told that the end is unclear knows more than one whose connection breaks."""
+GRACE_MARGIN_MS = 500.0
+"""How long before the end of its grace a node answers all open calls: an answer that
+the outcome is unknown tells a caller more than a broken connection."""
 
 FIRST_SEQUENCES = 1 << 30
-"""Numbers of pings begin below this, by the time of the start in ms: no node sends a
-thousand a second."""
+"""The first ping number is the start time in ms modulo this, so a restarted node uses
+new numbers: no node sends a thousand pings a second."""
 
 PRUNE_MS = 30_000.0
-CHILDREN_FORGOTTEN_MS = 60_000.0
-"""Which services calls of a kind go on to is remembered for a minute."""
+CHILD_KIND_TTL_MS = 60_000.0
+"""Retention of the services that calls of a kind go on to."""
 
 
 def new_state(event: events.Started) -> states.State:
@@ -81,10 +81,10 @@
     """Apply one event.
 
     :param state: changed in place.
-    :return: the effects, in the order in which they are to be carried out.
+    :return: the effects, in the order of execution.
     """
     out: states.Effects = []
-    # A clock that was set back must not let time run backwards in the core.
+    # Time in the core is monotonic, even if the clock was set back.
     state.now = max(state.now, event.now)
     _HANDLERS[type(event)](state, event, out)
     if state.claim_batch:
@@ -108,7 +108,7 @@
     state.retry_bound = event.retry_bound
     state.freshness.revoke_ms = event.revoke_ms
     state.cap_tolerance = event.cap_tolerance
-    # A late answer to an earlier start of this node must not pass for one to this.
+    # A late answer to a previous incarnation must not match a ping of this one.
     state.membership.sequence = event.incarnation % FIRST_SEQUENCES
     state.revisions.snapshot_at = event.now
     me = messages.Member(
@@ -126,7 +126,7 @@
             timers.subscribe(state, name=name, period=period, now=event.now)
     joining.start(state, me, out)
     if event.routed:
-        # Whether to wait for the next table is decided once members are known.
+        # Whether to long poll for the next table is decided once members are known.
         streams.follow(state, streams.ROUTES, out, keyed=True, followed=False)
     if event.keyed_log:
         return
@@ -148,18 +148,18 @@
 
 
 def next_tick(state: states.State) -> ids.Milliseconds:
-    """Return when the next tick is due; an event may make it earlier."""
+    """Return when the next tick is due; later events may make it earlier."""
     if state.stopping:
         return state.now + timers.TICK_MS
     deadlines = state.deadlines
-    while deadlines and not _is_open(state, deadlines[0]):
+    while deadlines and not _is_pending(state, deadlines[0]):
         heapq.heappop(deadlines)
     first = deadlines[0][0] if deadlines else math.inf
     due = min(first, timers.next_due(state), streams.next_retry_at(state))
     return max(due, state.now + timers.TICK_MS)
 
 
-def _is_open(state: states.State, entry: tuple[ids.Milliseconds, int, int]) -> bool:
+def _is_pending(state: states.State, entry: tuple[ids.Milliseconds, int, int]) -> bool:
     _, which, number = entry
     if which == calls.CALL_DEADLINE:
         return ids.CallId(number) in state.calls
@@ -175,7 +175,7 @@
     if event.extra:
         freshness_renewal.on_read_ended(state)
     if _is_usable(state, stream, event, out):
-        _take_read(state, stream, event, out)
+        _apply_read(state, stream, event, out)
     streams.retry_due(state, out)
 
 
@@ -185,7 +185,7 @@
     event: events.LogRead | events.NewestRead,
     out: states.Effects,
 ) -> bool:
-    """Tell whether an answer tells of the log as it is now."""
+    """Whether an answer describes the log as it is now."""
     if event.generation != stream.generation:
         return False
     if log_epochs.accept(state, event.epoch, out):
@@ -199,15 +199,15 @@
     return isinstance(event, events.LogRead) and event.extra
 
 
-def _take_read(
+def _apply_read(
     state: states.State,
     stream: states.Stream,
     event: events.LogRead,
     out: states.Effects,
 ) -> None:
-    """Take in records that were read from an offset."""
+    """Apply records that were read from an offset."""
     if event.generation != stream.generation:
-        # Read from an offset of the epoch before.
+        # The offset belongs to the previous epoch.
         return
     streams.record_missing(stream, event, out)
     if event.missing:
@@ -261,7 +261,7 @@
             claims.on_record(state, record, out)
     elif isinstance(record, routes.RouteTable) and stream == streams.ROUTES:
         freshness.on_table(state, record.version)
-        _put_routes(state, record, out)
+        _apply_routes(state, record, out)
     elif stream != streams.CONFIG:
         return
     elif isinstance(record, messages.PublishRecord):
@@ -298,9 +298,9 @@
     state: states.State, event: events.PutDone, out: states.Effects
 ) -> None:
     log_epochs.on_reported_epoch(state, event.epoch, "a put", out)
-    lasts = not log_epochs.is_earlier(state, event.epoch)
-    quarantine.on_saved(state, event.put, done=lasts)
-    joining.on_put_ended(state, event.put, out, done=lasts)
+    durable = not log_epochs.is_earlier(state, event.epoch)
+    quarantine.on_saved(state, event.put, done=durable)
+    joining.on_put_ended(state, event.put, out, done=durable)
     streams.retry_due(state, out)
 
 
@@ -315,10 +315,10 @@
 def _on_routes(
     state: states.State, event: events.RoutesReceived, out: states.Effects
 ) -> None:
-    _put_routes(state, event.table, out)
+    _apply_routes(state, event.table, out)
 
 
-def _put_routes(
+def _apply_routes(
     state: states.State, table: routes.RouteTable, out: states.Effects
 ) -> None:
     if route_table.put(state, table, out):
@@ -346,10 +346,10 @@
     state: states.State, event: events.AppendDone, out: states.Effects
 ) -> None:
     log_epochs.on_reported_epoch(state, event.epoch, "an append", out)
-    # The acknowledgement decides nothing: claims and publications count when they
-    # are read back in the log's order.
-    lasts = not log_epochs.is_earlier(state, event.epoch)
-    quarantine.on_saved(state, event.append, done=lasts)
+    # An acknowledgement does not decide claims and publications: they take effect
+    # when they are read back in the order of the log.
+    durable = not log_epochs.is_earlier(state, event.epoch)
+    quarantine.on_saved(state, event.append, done=durable)
     state.appends.pop(event.append, None)
 
 
@@ -368,15 +368,15 @@
 def _on_datagram(
     state: states.State, event: events.DatagramReceived, out: states.Effects
 ) -> None:
-    told = event.message.caps
-    if isinstance(told, messages.CapRequest):
-        caps.on_request(state, event.sender, event.host, event.port, told, out)
+    message = event.message.caps
+    if isinstance(message, messages.CapRequest):
+        caps.on_request(state, event.sender, event.host, event.port, message, out)
         return
-    if isinstance(told, messages.CapAnswer):
-        caps.on_answer(state, event.sender, told, out)
+    if isinstance(message, messages.CapAnswer):
+        caps.on_answer(state, event.sender, message, out)
         return
-    if isinstance(told, messages.CapHandover):
-        caps.on_handover(state, event.sender, told, out)
+    if isinstance(message, messages.CapHandover):
+        caps.on_handover(state, event.sender, message, out)
         return
     log_epochs.on_reported_epoch(state, event.message.log_epoch, event.sender, out)
     membership.on_gossip(
@@ -397,12 +397,12 @@
     state: states.State, event: events.BackendAnnounced, out: states.Effects
 ) -> None:
     backend = state.backend
-    told = (event.instance, event.sequence, event.started_ms)
-    if instances.is_outdated(state, *told):
+    announced = (event.instance, event.sequence, event.started_ms)
+    if instances.is_outdated(state, *announced):
         return
-    before = _offered(backend)
+    before = _advertised(backend)
     presence.on_announced(state, event, out)
-    after = _offered(backend)
+    after = _advertised(backend)
     if after != before and not state.stopping:
         membership.update_self(
             state,
@@ -417,8 +417,8 @@
     _follow_claims(state, out)
 
 
-def _offered(backend: states.Backend) -> tuple[object, ...]:
-    """Return what the other members are told of the backend server."""
+def _advertised(backend: states.Backend) -> tuple[object, ...]:
+    """Return what is advertised to the other members of the backend server."""
     return (
         backend.service,
         backend.slots,
@@ -434,7 +434,7 @@
     present = state.backend.present
     hosting.on_backend_answered(state, event, out)
     if present and not state.backend.present:
-        _offer_nothing(state, out)
+        _advertise_no_backend(state, out)
 
 
 def _on_backend_checked(
@@ -455,11 +455,11 @@
     state: states.State, event: events.BackendWithdrawn, out: states.Effects
 ) -> None:
     if presence.on_withdrawn(state, event, out):
-        _offer_nothing(state, out)
+        _advertise_no_backend(state, out)
 
 
-def _offer_nothing(state: states.State, out: states.Effects) -> None:
-    """Tell the members that no backend server takes work here any more."""
+def _advertise_no_backend(state: states.State, out: states.Effects) -> None:
+    """Advertise to the members that no backend server takes work here."""
     membership.update_self(state, out, service=ids.ServiceName(""), slots=0)
 
 
@@ -473,12 +473,12 @@
     state.stop_after = state.now + linger
     state.depart_at = state.stop_after - STOP_LINGER_MS
     if event.grace_ms > 0:
-        state.stop_by = state.now + max(0.0, event.grace_ms - LAST_ANSWERS_MS)
+        state.stop_by = state.now + max(0.0, event.grace_ms - GRACE_MARGIN_MS)
     operator_log.info(out, "node", "Planned stop begins.")
 
 
 def _depart(state: states.State, out: states.Effects) -> None:
-    """Take no more work for the backend server, and tell the members."""
+    """Take no more work for the backend server, and notify the members."""
     state.departed = True
     operator_log.info(out, "node", "No more calls are taken for the backend server.")
     replies.refuse_queue(state, decisions.Rule.STOPPING, out)
@@ -541,7 +541,7 @@
     hosting.drop_overdue(state, out)
     level_control.control(state, now, out)
     if presence.expire(state, now, out):
-        _offer_nothing(state, out)
+        _advertise_no_backend(state, out)
 
 
 def _check_slowly(
@@ -560,13 +560,13 @@
     for key in keys.prune(state, now):
         out.append(effects.DeleteStoredAnswer(key=key))
     for children in state.child_kinds.values():
-        old = [c for c, seen in children.items() if now - seen > CHILDREN_FORGOTTEN_MS]
+        old = [c for c, seen in children.items() if now - seen > CHILD_KIND_TTL_MS]
         for child in old:
             del children[child]
 
 
 def _follow_claims(state: states.State, out: states.Effects) -> None:
-    """Follow the claims of the own service once it has unrepeatable kinds."""
+    """Follow the claims of the local service once it has unrepeatable kinds."""
     service = state.backend.service
     if not service or keys.stream_name(service) in state.streams:
         return
@@ -589,7 +589,7 @@
     "caps": (caps.CHECK_MS, caps.check),
 }
 _ROUTED_ONLY = frozenset({"pollers", "freshness", "caps"})
-"""Parts that nodes without a route table have no use for."""
+"""Parts that only run on nodes with a route table."""
 
 _TIMER_HANDLERS = {name: handler for name, (_, handler) in _TIMERS.items()}
 
--- a/src/gingerturn/internal/core/timers.py
+++ b/src/gingerturn/internal/core/timers.py
@@ -1,7 +1,7 @@
-"""The timer service: parts subscribe to it and are run when they are due.
+"""The timer service: parts subscribe to it and run when they are due.
 
 The shell ticks when the next part, deadline or read of a stream is due
-(:func:`.reducer.next_tick`); nothing else in the core looks at a clock.
+(:func:`.reducer.next_tick`); nothing else in the core reads a clock.
 """
 
 import collections.abc
@@ -11,12 +11,12 @@
 from gingerturn.internal.core import state as states
 
 TICK_MS = 10.0
-"""The least time between two ticks, so a deadline is seen at most 10 ms late. A node
-that ticked this often also with nothing due spent 1.5 % of a core at rest."""
+"""Minimum interval between two ticks; a deadline is handled at most this late. Ticks
+are not periodic at this interval, since that costs 1.5 % of a core on an idle node."""
 
 GRID_MS = 100.0
-"""All parts of a node share one phase and have periods of whole multiples of this, so
-that one tick serves several; the phase differs from node to node."""
+"""All parts of a node share one phase and have periods that are multiples of this, so
+one tick serves several parts. The phase differs between nodes."""
 
 Handler = collections.abc.Callable[
     [states.State, ids.Milliseconds, states.Effects], None
@@ -26,8 +26,9 @@
 def subscribe(
     state: states.State, *, name: str, period: ids.Milliseconds, now: ids.Milliseconds
 ) -> None:
-    """Subscribe a part; its first turn is spread over one period, so that nodes
-    that start together do not act together."""
+    """Subscribe a part. Its first run is spread over one period, so that nodes that
+    start together do not act together.
+    """
     if not state.timers:
         state.timer_phase = now + GRID_MS * state.random.random()
     steps = state.random.randrange(max(1, int(period / GRID_MS)))
@@ -48,8 +49,8 @@
 ) -> None:
     """Run every part that is due.
 
-    A part that missed turns, since the process was paused, runs once: catching up
-    turn by turn would be a burst of work at the worst moment.
+    A part that missed runs because the process was paused runs once: catching up would
+    be a burst of work under overload.
     """
     for timer in state.timers:
         if now < timer.due:
--- a/src/gingerturn/internal/core/trace.py
+++ b/src/gingerturn/internal/core/trace.py
@@ -1,4 +1,4 @@
-"""Recording the events of a node and replaying them to the same effects."""
+"""Recording of the events of a node, and their replay to the same effects."""
 
 import collections.abc
 import hashlib
@@ -16,7 +16,7 @@
 
 
 class Recorder:
-    """Writes each event to a file as it is applied, and sums up its effects.
+    """Writes each event to a file as it is applied, and digests its effects.
 
     :param target: a binary file that the caller opened and closes.
     """
@@ -28,25 +28,27 @@
 
     @property
     def digest(self) -> str:
-        """Digest of all effects so far; :func:`digest` of a replay gives the same."""
+        """Digest of all effects so far; equal to :func:`digest` of a replay."""
         return self._running.hexdigest()
 
     def record(self, event: events.Event) -> None:
-        """Write one event: its length (4 bytes), then the event."""
+        """Write one event, prefixed with its length in 4 bytes."""
         content = _ENCODER.encode(event)
         self._target.write(len(content).to_bytes(4, "big") + content)
         self.events += 1
 
     def record_effects(self, out: list[effects.Effect]) -> None:
-        """Take in the effects of the event that was recorded last."""
+        """Add the effects of the latest event to the digest."""
         self._running.update(encode_effects(out))
 
 
 def read(source: typing.BinaryIO) -> collections.abc.Iterator[events.AnyEvent]:
     """Yield the events of a recorded trace.
 
-    A last event that was cut off, since the process was killed while writing, ends
-    the trace.
+    A truncated last event, left by a process that was killed while writing, ends the
+    trace.
+
+    :raises InvalidArgument: if an event is not one of this version.
     """
     while len(length := source.read(4)) == 4:
         content = source.read(int.from_bytes(length, "big"))
@@ -64,9 +66,9 @@
 def replay(
     recorded: collections.abc.Iterable[events.Event],
 ) -> collections.abc.Iterator[tuple[events.Event, list[effects.Effect]]]:
-    """Yield each event with the effects that it has.
+    """Yield each event with its effects.
 
-    :raises InvalidArgument: when the trace does not begin with the start of a node.
+    :raises InvalidArgument: if the trace does not begin with the start of a node.
     """
     state = None
     for event in recorded:
@@ -83,7 +85,7 @@
 def digest(
     replayed: collections.abc.Iterable[tuple[events.Event, list[effects.Effect]]],
 ) -> str:
-    """Return the digest of every effect, equal exactly for equal effects."""
+    """Return the digest of all effects; equal exactly for equal effects."""
     running = _new_digest()
     for _, out in replayed:
         running.update(encode_effects(out))
@@ -95,5 +97,5 @@
 
 
 def encode_effects(out: list[effects.Effect]) -> bytes:
-    """Return effects as bytes."""
+    """Return effects as MessagePack."""
     return _ENCODER.encode(out)
--- a/tests/cover/test_silent_nodes.py
+++ b/tests/cover/test_silent_nodes.py
@@ -118,7 +118,7 @@
     # A request to a silent upstream was cut when the process ended.
     state, _ = _entry(routes.RouteType.UNREPEATABLE)
     reducer.reduce(state, events.StopRequested(now=state.now, grace_ms=2_000.0))
-    out = builders.passed(state, 2_000.0 - reducer.LAST_ANSWERS_MS + 20.0)
+    out = builders.passed(state, 2_000.0 - reducer.GRACE_MARGIN_MS + 20.0)
     refusal = builders.only(out, effects.RefuseCall)
     assert refusal.status == 502
     assert refusal.outcome is messages.Outcome.UNKNOWN
