--- a/tests/common/builders.py
+++ b/tests/common/builders.py
@@ -1,4 +1,4 @@
-"""Short ways to the states and events that many tests need."""
+"""Builders of states and events for tests."""
 
 import os
 import typing
@@ -18,7 +18,7 @@
 E = typing.TypeVar("E", bound=effects.Effect)
 
 START = 1_800_000_000_000.0
-"""When the tests' clocks begin: a time in 2027."""
+"""Start time of the clocks in tests, in ms; a time in 2027."""
 
 DOCUMENT = """
 [[importance]]
@@ -57,7 +57,7 @@
 
 
 def settings(name: str = "n1", *, zone: str = "bne-a") -> settings_module.Settings:
-    """Return the settings of a node that nothing runs."""
+    """Return the settings of a node that is never started."""
     return settings_module.Settings(
         node=settings_module.Node(
             id=name,
@@ -74,7 +74,7 @@
 
 
 def started(name: str = "n1", *, seed: int = 1, now: float = START) -> events.Started:
-    """Return the start of a node."""
+    """Return the start event of a node."""
     return events.Started(
         now=now,
         seed=seed,
@@ -106,7 +106,7 @@
 def announced(
     service: str, *, slots: int = 4, now: float = START, cold: bool = False
 ) -> events.BackendAnnounced:
-    """Return the announcement of a backend server."""
+    """Return an announcement of a backend server."""
     return events.BackendAnnounced(
         now=now,
         service=ids.ServiceName(service),
@@ -136,7 +136,7 @@
 
 
 def add_members(state: states.State, *members: messages.Member) -> None:
-    """Let a node hear of members."""
+    """Deliver members to a node by gossip."""
     message = gossip(members=members)
     reducer.reduce(state, datagram(members[0].node, message, now=state.now))
 
@@ -144,7 +144,7 @@
 def gossip(
     *, route_version: int = 0, members: tuple[messages.Member, ...] = ()
 ) -> messages.Gossip:
-    """Return an acknowledgement with what rides on it."""
+    """Return an acknowledgement with piggybacked member updates."""
     return messages.Gossip(
         kind=messages.GossipKind.ACK,
         sequence=0,
@@ -182,7 +182,7 @@
 
 
 def call_terms(**changes: object) -> messages.CallMetadata:
-    """Return the terms of a plain lookup."""
+    """Return the metadata of a plain lookup."""
     fields: dict[str, object] = {
         "service": "plans",
         "kind": "plan-status",
@@ -199,14 +199,14 @@
 
 
 def opened(
-    hosted: int, terms: messages.CallMetadata | None = None, *, now: float = START
+    hosted: int, metadata: messages.CallMetadata | None = None, *, now: float = START
 ) -> events.OpenReceived:
     """Return the arrival of a call at its home node."""
     return events.OpenReceived(
         now=now,
         hosted=ids.HostedId(hosted),
         sender=ids.NodeId("entry"),
-        metadata=terms or call_terms(),
+        metadata=metadata or call_terms(),
     )
 
 
@@ -278,7 +278,7 @@
 
 
 def key_at(now: float, *, number: int | None = None) -> str:
-    """Return a UUIDv7 minted at a time; the same number gives the same key."""
+    """Return a UUIDv7 issued at a time; the same number gives the same key."""
     low = int.from_bytes(os.urandom(7)) if number is None else number
     return str(uuid.UUID(int=(int(now) << 80) | (7 << 76) | (2 << 62) | low))
 
@@ -296,7 +296,7 @@
 
 
 def passed(state: states.State, duration: float) -> list[effects.Effect]:
-    """Let time pass by ticks, and return every effect."""
+    """Advance time by ticks, and return every effect."""
     out: list[effects.Effect] = []
     end = state.now + duration
     while state.now < end:
--- a/tests/cover/test_explain.py
+++ b/tests/cover/test_explain.py
@@ -1,4 +1,4 @@
-"""From the id of a failed request to its cause, by the lines of the logs alone."""
+"""The cause of a failed request, found in the log lines of several nodes."""
 
 import io
 import json
@@ -47,15 +47,15 @@
     _line("h1", "entry", "r2.c2", "sent", status=500, at=7),
     _line("e", "entry", "r2", "sent", status=500, at=8),
 )
-UNCLEAR = (
+OUTCOME_UNKNOWN = (
     _line("h1", "home", "r3", "outcome_unknown", at=1),
     _line("e", "entry", "r3", "retry_no_budget", at=2),
     _line("e", "entry", "r3", "outcome_unknown", status=502, at=3),
 )
 
 
-def _story(wanted: str) -> explain.Story:
-    files = [_file(*lines) for lines in (REFUSED, CALL_FAILED, UNCLEAR)]
+def _explained(wanted: str) -> explain.Story:
+    files = [_file(*lines) for lines in (REFUSED, CALL_FAILED, OUTCOME_UNKNOWN)]
     return explain.explain(explain.read(files), wanted)
 
 
@@ -70,13 +70,13 @@
 def test_the_cause_is_the_line_of_the_node_that_decided(
     wanted: str, node: str, rule: str
 ) -> None:
-    cause = _story(wanted).cause
+    cause = _explained(wanted).cause
     assert cause is not None
     assert (cause.node, cause.rule) == (node, rule)
 
 
 def test_a_decision_that_the_caller_was_told_leads_to_its_request() -> None:
-    assert _story("h4:5").request == "r2.c2.d1"
+    assert _explained("h4:5").request == "r2.c2.d1"
 
 
 def test_an_id_that_only_begins_alike_is_another_request() -> None:
@@ -85,31 +85,33 @@
 
 
 def test_a_request_that_was_answered_has_an_end_and_no_cause() -> None:
-    story = _story("r2.c1")
+    story = _explained("r2.c1")
     assert story.end is not None and story.end.status == 200
     assert story.cause is None
 
 
-def test_what_is_no_line_is_passed_over() -> None:
-    file = io.BytesIO(b"Traceback\n{}\n" + _file(*UNCLEAR).getvalue() + b'{"time":"20')
-    assert len(explain.read([file])) == len(UNCLEAR)
+def test_other_output_between_lines_is_skipped() -> None:
+    file = io.BytesIO(
+        b"Traceback\n{}\n" + _file(*OUTCOME_UNKNOWN).getvalue() + b'{"time":"20'
+    )
+    assert len(explain.read([file])) == len(OUTCOME_UNKNOWN)
 
 
-def test_what_a_collector_put_before_a_line_is_passed_over() -> None:
-    file = io.BytesIO(b"  12.345 s  n1 | " + _file(*UNCLEAR[:1]).getvalue())
+def test_a_prefix_added_by_a_log_collector_is_skipped() -> None:
+    file = io.BytesIO(b"  12.345 s  n1 | " + _file(*OUTCOME_UNKNOWN[:1]).getvalue())
     assert len(explain.read([file])) == 1
 
 
 def test_an_id_that_no_line_names_is_an_error_that_says_so() -> None:
     with pytest.raises(errors.InvalidArgument, match="'r9' is in no line"):
-        _story("r9")
+        _explained("r9")
 
 
 def test_the_command_prints_the_way_and_the_cause(tmp_path: pathlib.Path) -> None:
     path = tmp_path / "node.log"
     path.write_bytes(_file(*CALL_FAILED).getvalue())
     runner = click.testing.CliRunner()
-    told = runner.invoke(command.cli, ["why", "r2", "--log", str(path)])
-    assert told.exit_code == 0, told.output
-    last = told.output.splitlines()[-1]
+    result = runner.invoke(command.cli, ["why", "r2", "--log", str(path)])
+    assert result.exit_code == 0, result.output
+    last = result.output.splitlines()[-1]
     assert last == "Cause: not_in_time decided. At h4, for r2.c2.d1."
--- a/tests/cover/test_frames.py
+++ b/tests/cover/test_frames.py
@@ -17,7 +17,7 @@
     st.builds(
         frames.Open,
         call=CALL,
-        terms=events_of.TERMS,
+        terms=events_of.METADATA,
         head=st.binary(),
         body=st.binary(),
         whole=st.booleans(),
--- a/tests/cover/test_reducer_properties.py
+++ b/tests/cover/test_reducer_properties.py
@@ -1,4 +1,4 @@
-"""Arbitrary event sequences: what must hold in every state."""
+"""Property-based tests of the reducer: invariants after arbitrary events."""
 
 import collections
 import io
@@ -27,7 +27,7 @@
     limit=st.integers(0, 10),
     leaving=st.booleans(),
 )
-TERMS = st.builds(
+METADATA = st.builds(
     builders.call_terms,
     service=st.just("porting"),
     kind=st.sampled_from(["port-request", "unheard-of"]),
@@ -62,7 +62,7 @@
     service=st.sampled_from(["", "plans", "porting"]),
     slots=st.integers(0, 20),
 )
-QUARANTINE_NEWS = st.builds(
+QUARANTINE_GOSSIP = st.builds(
     messages.QuarantineGossip,
     crashes=st.lists(
         st.builds(
@@ -95,7 +95,7 @@
     members=st.lists(MEMBERS, max_size=3).map(tuple),
     target=st.sampled_from(["", "n2"]),
     cursor=st.sampled_from(["", "n1"]),
-    quarantine=st.one_of(st.just(messages.NO_QUARANTINE_GOSSIP), QUARANTINE_NEWS),
+    quarantine=st.one_of(st.just(messages.NO_QUARANTINE_GOSSIP), QUARANTINE_GOSSIP),
 )
 RECORDS = st.one_of(
     st.binary(max_size=20),
@@ -170,7 +170,7 @@
         events.OpenReceived,
         hosted=st.integers(100, 110),
         sender=st.just("e"),
-        metadata=TERMS,
+        metadata=METADATA,
     ),
     _event(events.CancelReceived, hosted=st.integers(100, 110)),
     _event(
@@ -225,7 +225,7 @@
 
 
 def _play(steps: list) -> tuple[states.State, list[events.Event], list[list]]:
-    """Apply steps, with ids made fresh where the shell guarantees that."""
+    """Apply steps, with unique ids where the shell guarantees them."""
     state = builders.node_state(service="porting", slots=2)
     now = builders.START
     played: list[events.Event] = []
@@ -306,7 +306,7 @@
         for event in played
         if isinstance(event, events.BackendFailed) and not event.dispatched
     }
-    handed: collections.Counter[str] = collections.Counter(
+    dispatched: collections.Counter[str] = collections.Counter(
         keys[effect.hosted]
         for group in out
         for effect in group
@@ -314,7 +314,7 @@
         and effect.hosted not in not_written
         and keys[effect.hosted]
     )
-    assert all(count == 1 for count in handed.values()), handed
+    assert all(count == 1 for count in dispatched.values()), dispatched
 
 
 @hypothesis.given(st.lists(STEPS, max_size=40))
--- a/tests/cover/test_ticks.py
+++ b/tests/cover/test_ticks.py
@@ -1,4 +1,4 @@
-"""When a node ticks: seldom at rest, in time for each deadline and read."""
+"""Scheduling of ticks: rare on an idle node, on time for deadlines and reads."""
 
 from gingerturn.internal import ids
 from gingerturn.internal.core import (
@@ -13,11 +13,11 @@
 )
 from tests.common import builders, routed
 
-REST_TICKS_PER_S = 20
+MAX_IDLE_TICKS_PER_S = 20
 
 
 def _tick(state: states.State, *, until: float) -> tuple[int, list[effects.Effect]]:
-    """Tick whenever the core is due; return how often, and every effect."""
+    """Tick whenever the core is due; return the number of ticks and every effect."""
     ticks = 0
     out: list[effects.Effect] = []
     while (due := reducer.next_tick(state)) <= until:
@@ -27,10 +27,10 @@
 
 
 def test_a_node_at_rest_ticks_seldom() -> None:
-    # With a tick each 10 ms it spent 1.5 % of a core.
+    # Guards against ticks at the minimum interval with nothing due.
     state = routed.node_state(service="plans")
     ticks, _ = _tick(state, until=state.now + 10_000.0)
-    assert 10 * 5 < ticks <= 10 * REST_TICKS_PER_S
+    assert 10 * 5 < ticks <= 10 * MAX_IDLE_TICKS_PER_S
 
 
 def test_calls_that_have_ended_cost_no_ticks() -> None:
@@ -43,14 +43,14 @@
         )
         reducer.reduce(state, answer)
     ticks, _ = _tick(state, until=state.now + 10_000.0)
-    assert ticks <= 10 * REST_TICKS_PER_S
+    assert ticks <= 10 * MAX_IDLE_TICKS_PER_S
 
 
 def test_a_deadline_is_met_within_ten_milliseconds() -> None:
     state = routed.node_state(service="plans", slots=1)
     deadline = state.now + 733.0
-    terms = builders.call_terms(service="plans", deadline_ms=733.0)
-    reducer.reduce(state, builders.opened(1, terms))
+    metadata = builders.call_terms(service="plans", deadline_ms=733.0)
+    reducer.reduce(state, builders.opened(1, metadata))
     out: list[effects.Effect] = []
     while not builders.all_of(out, effects.SendRefusal):
         _, out = _tick(state, until=reducer.next_tick(state))
@@ -59,7 +59,7 @@
 
 def test_a_stream_is_read_on_at_once_by_a_node_that_waits_for_it() -> None:
     state = routed.node_state()
-    # It hears nobody who could tell it of a change.
+    # No member could notify it of a change, so it polls the log.
     pollers.check(state, state.now, [])
     record = messages.encode_record(routed.table(version=3))
     newest = events.NewestRead(
