--- a/benchmarks/variants.py
+++ b/benchmarks/variants.py
@@ -180,12 +180,12 @@
 
 def no_going_back() -> None:
     """A call is not sent back to an upstream that turned it away with slots free."""
-    _set(sending, "MAX_TURNED_AWAY", 0)
+    _set(sending, "MAX_REJECTED_ATTEMPTS", 0)
 
 
 def no_cost_order() -> None:
     """Inside a priority the order is by hash alone, whatever a kind costs."""
-    _set(slot_costs, "ordered", lambda costs, kind, importance, root: root)
+    _set(slot_costs, "shedding_hash", lambda costs, kind, importance, root: root)
 
 
 def no_come_back_time() -> None:
@@ -195,7 +195,7 @@
 
 def no_slow_penalty() -> None:
     """Upstreams are chosen whatever time their answers take."""
-    _set(upstream_costs, "SLOW_PENALTY", 0.0)
+    _set(upstream_costs, "SLOWNESS_PENALTY", 0.0)
 
 
 def no_zone_preference() -> None:
@@ -220,7 +220,7 @@
 
 def no_spared_share() -> None:
     """No part of a kind goes with the first priority."""
-    _set(arrivals, "SPARED_FROM", 1 << 64)
+    _set(arrivals, "PROTECTED_FROM", 1 << 64)
 
 
 def no_asking() -> None:
@@ -275,11 +275,19 @@
 
 
 def _random_choice() -> None:
-    _set(upstream_costs, "cost_of", lambda state, node, apart: state.random.random())
+    _set(
+        upstream_costs,
+        "cost_of",
+        lambda state, node, other_zone_penalty: state.random.random(),
+    )
 
 
 def _no_retries() -> None:
-    _set(sending, "retry", lambda state, call, out, *, ran=True, room=False: False)
+    _set(
+        sending,
+        "retry",
+        lambda state, call, out, *, may_have_run=True, had_free_slots=False: False,
+    )
 
 
 def _no_cancellation() -> None:
@@ -300,8 +308,8 @@
     call: typing.Any,
     out: typing.Any,
     *,
-    ran: bool = True,
-    room: bool = False,
+    may_have_run: bool = True,
+    had_free_slots: bool = False,
 ) -> bool:
     if not call.rule.repeatable or state.now >= call.deadline:
         return False
--- a/src/gingerturn/internal/core/arrivals.py
+++ b/src/gingerturn/internal/core/arrivals.py
@@ -12,12 +12,12 @@
     state as states,
 )
 
-SPARED_SHARE = 1.0 / 8
+PROTECTED_SHARE = 1.0 / 8
 """On routes this share of every kind of request goes with the first priority, so that
 no kind is starved however little there is: users want each served at least a quarter as
 often as all. An eighth keeps to that until half of everything is refused."""
 
-SPARED_FROM = int((1.0 - SPARED_SHARE) * 2**64)
+PROTECTED_FROM = int((1.0 - PROTECTED_SHARE) * 2**64)
 """The roots that are spared: those whose hash goes last in the shedding order."""
 
 
@@ -38,7 +38,7 @@
     """Return a whole request as a call."""
     identity = event.key or f"{event.trace}-{event.span}"
     root = root_hash(identity)
-    spared = state.routed and root >= SPARED_FROM
+    spared = state.routed and root >= PROTECTED_FROM
     timeout = float(rule.timeout_ms)
     if event.timeout_ms > 0:
         timeout = min(timeout, event.timeout_ms)
@@ -46,7 +46,7 @@
     if spared:
         importance = configuration.IMPORTANCE_CLASSES - 1
     elif state.routed:
-        root = slot_costs.ordered(state.costs, rule.name, importance, root)
+        root = slot_costs.shedding_hash(state.costs, rule.name, importance, root)
     return states.Call(
         id=event.call,
         rule=rule,
--- a/src/gingerturn/internal/core/calls.py
+++ b/src/gingerturn/internal/core/calls.py
@@ -37,11 +37,11 @@
 GATEWAY_TIMEOUT = 504
 """What a backend server answers at the deadline; then no time is left to repeat."""
 
-AVOID_MS = 1_000.0
+NO_BACKEND_EJECT_MS = 1_000.0
 """An upstream that said it has no backend server is passed over for 1 s, by when
 gossip has told the rest."""
 
-AVOID_LEAVING_MS = 10_000.0
+LEAVING_EJECT_MS = 10_000.0
 """One that said it is leaving for longer than it lingers, so that no call is under
 way to it when it closes its connections."""
 
@@ -49,7 +49,7 @@
     {decisions.Rule.DEADLINE_PASSED, decisions.Rule.QUEUE_EXPIRED}
 )
 _NO_REPEAT_RULES = _DEADLINE_RULES | {decisions.Rule.QUARANTINED}
-_ABSENT_RULES = frozenset(
+_UNAVAILABLE_RULES = frozenset(
     {
         decisions.Rule.LEAVING,
         decisions.Rule.STOPPING,
@@ -58,14 +58,14 @@
         decisions.Rule.BACKEND_ENDED,
     }
 )
-_UNCLEAR_RULES = frozenset(
+_UNKNOWN_OUTCOME_RULES = frozenset(
     {
         decisions.Rule.OUTCOME_UNKNOWN,
         decisions.Rule.BACKEND_ENDED,
         decisions.Rule.QUARANTINED,
     }
 )
-_FINAL_RULES = frozenset(
+_NO_REDIRECT_RULES = frozenset(
     {
         decisions.Rule.KEY_INVALID,
         decisions.Rule.NOT_IN_TIME,
@@ -97,7 +97,7 @@
     if state.stopping and parent is None and not _served_while_stopping(state):
         refusals.refuse(state, call, decisions.Rule.STOPPING, out)
         return
-    if not _key_fits(state, call, event, out):
+    if not _check_key(state, call, event, out):
         return
     heapq.heappush(state.deadlines, (call.deadline + GRACE_MS, CALL_DEADLINE, call.id))
     if parent is not None or caps.admit(state, call, out):
@@ -140,7 +140,7 @@
     attempt = state.attempts.pop(event.attempt, None)
     if attempt is None:
         return
-    call = _returned(state, attempt, event.tokens, event.report)
+    call = _settle_attempt(state, attempt, event.tokens, event.report)
     failed = event.status >= FIRST_FAILURE_STATUS and not event.child_failed
     upstreams.record_answer(state, attempt.node, failed=failed)
     if call is None:
@@ -150,7 +150,7 @@
         kind = call.rule.name
         upstream_costs.record_traffic(state, attempt.node, kind, elapsed, event.size)
     call.attempt = None
-    if _worth_repeating(state, call, event):
+    if _should_retry(state, call, event):
         call.never_ran = False
         call.tried_upstreams.append(attempt.node)
         if sending.retry(state, call, out):
@@ -178,13 +178,13 @@
     attempt = state.attempts.pop(event.attempt, None)
     if attempt is None:
         return
-    call = _returned(state, attempt, event.tokens, event.report)
+    call = _settle_attempt(state, attempt, event.tokens, event.report)
     rule = decisions.Rule(event.refusal.rule)
-    own_failure = event.refusal.reached_backend or rule in _UNCLEAR_RULES
+    own_failure = event.refusal.reached_backend or rule in _UNKNOWN_OUTCOME_RULES
     upstreams.record_answer(state, attempt.node, failed=own_failure)
-    if rule in _ABSENT_RULES:
+    if rule in _UNAVAILABLE_RULES:
         upstream = upstreams.upstream_of(state, attempt.node)
-        avoid = AVOID_LEAVING_MS if event.report.leaving else AVOID_MS
+        avoid = LEAVING_EJECT_MS if event.report.leaving else NO_BACKEND_EJECT_MS
         upstreams.eject(state, upstream, avoid)
     if call is None:
         return
@@ -202,9 +202,9 @@
             refusals.refuse(state, call, rule, out, remote=event.refusal)
     elif event.refusal.reached_backend:
         room = event.refusal.had_free_slots
-        if not sending.retry(state, call, out, ran=False, room=room):
+        if not sending.retry(state, call, out, may_have_run=False, had_free_slots=room):
             refusals.refuse(state, call, rule, out, remote=event.refusal)
-    elif rule in _FINAL_RULES or not sending.redirect(state, call, out):
+    elif rule in _NO_REDIRECT_RULES or not sending.redirect(state, call, out):
         refusals.refuse(state, call, rule, out, remote=event.refusal)
 
 
@@ -215,7 +215,7 @@
     attempt = state.attempts.pop(event.attempt, None)
     if attempt is None:
         return
-    _note_returned(state, attempt)
+    _release_attempt(state, attempt)
     if upstreams.record_failure(state, attempt.node):
         operator_log.warn(
             out, "routing", f"Upstream {attempt.node} ejected after losses."
@@ -251,7 +251,7 @@
         if (
             call is None
             or not sending.may_repeat(call)
-            or not sending.can_go_elsewhere(state, call)
+            or not sending.can_retry_elsewhere(state, call)
         ):
             continue
         call.never_ran = False
@@ -260,7 +260,7 @@
         sending.retry(state, call, out)
 
 
-def give_up_all(state: states.State, out: states.Effects) -> None:
+def refuse_all(state: states.State, out: states.Effects) -> None:
     """Answer every call that is still held, since the process is about to end."""
     for call in list(state.calls.values()):
         if call.attempt is not None:
@@ -275,7 +275,7 @@
     """Take in an upstream's answer to a question about its level."""
     upstream = upstreams.upstream_of(state, event.node)
     sent = upstream.sent_since_report
-    _hear(state, event.node, event.kind, event.report)
+    _record_report(state, event.node, event.kind, event.report)
     # What was sent meanwhile may not be in the load that was told.
     upstream.sent_since_report = sent
 
@@ -293,7 +293,7 @@
     refusals.refuse(state, call, decisions.Rule.DEADLINE_PASSED, out)
 
 
-def _worth_repeating(
+def _should_retry(
     state: states.State, call: states.Call, event: events.AttemptAnswered
 ) -> bool:
     """Tell whether another upstream may well answer better than this one did."""
@@ -315,7 +315,7 @@
     return state.routed and state.now < state.stop_after
 
 
-def _key_fits(
+def _check_key(
     state: states.State,
     call: states.Call,
     event: events.CallArrived,
@@ -334,30 +334,30 @@
     return False
 
 
-def _returned(
+def _settle_attempt(
     state: states.State,
     attempt: states.Attempt,
     tokens: int,
     report: messages.LoadReport,
 ) -> states.Call | None:
     """Take back an attempt's tokens and its load report."""
-    _note_returned(state, attempt)
+    _release_attempt(state, attempt)
     call = state.calls.get(attempt.call)
     kind = call.rule.name if call is not None else ""
-    _hear(state, attempt.node, kind, report)
+    _record_report(state, attempt.node, kind, report)
     if call is not None:
         call.tokens += allowance.returned_tokens(taken=attempt.tokens, reported=tokens)
     return call
 
 
-def _hear(
+def _record_report(
     state: states.State, node: ids.NodeId, kind: str, report: messages.LoadReport
 ) -> None:
     routing.on_load_report(state, node, kind, report)
     slot_costs.on_report(state.costs, kind, report)
 
 
-def _note_returned(state: states.State, attempt: states.Attempt) -> None:
+def _release_attempt(state: states.State, attempt: states.Attempt) -> None:
     upstream = upstreams.upstream_of(state, attempt.node)
     upstream.outstanding -= 1
 
@@ -371,5 +371,5 @@
     call.attempt = None
     if attempt is None:
         return
-    _note_returned(state, attempt)
+    _release_attempt(state, attempt)
     out.append(effects.CancelAttempt(attempt=attempt.id))
--- a/src/gingerturn/internal/core/hosting.py
+++ b/src/gingerturn/internal/core/hosting.py
@@ -22,7 +22,7 @@
     state as states,
 )
 
-UNREACHABLE_MS = 500.0
+UNREACHABLE_PAUSE_MS = 500.0
 """Pause after the backend server refused a connection; one call then tries."""
 
 ORPHAN_MS = 60_000.0
@@ -34,7 +34,7 @@
 """One without a key, which nobody can ask about again, keeps its slot only this long:
 an answer that was lost on its way would otherwise hold the slot for a minute."""
 
-SUNK_SHARE = 0.5
+MIN_CHILD_TIME_SHARE = 0.5
 """A call deeper in a tree that finds a free slot is begun if half of the usual time is
 left: refusing it loses for certain what its parents have spent, and trying costs a slot
 that nobody waits for."""
@@ -60,11 +60,13 @@
     state.hosted[hosted.id] = hosted
     if terms.ticket and terms.ticket != keys.own_name(state):
         # A ticket of an earlier incarnation, which may have run it.
-        replies.refuse(state, hosted, decisions.Rule.OUTCOME_UNKNOWN, out, handed=True)
+        replies.refuse(
+            state, hosted, decisions.Rule.OUTCOME_UNKNOWN, out, dispatched=True
+        )
         return
-    if terms.key and replies.is_repeat(state, hosted, out):
+    if terms.key and replies.handle_repeat(state, hosted, out):
         return
-    rule = _unfit(state, hosted)
+    rule = _unavailable_rule(state, hosted)
     # Mostly nothing is kept out, and then no call pays for the question.
     kept_out = state.quarantine.quarantined
     if rule is None and kept_out and not quarantine.admits(state, hosted):
@@ -131,7 +133,7 @@
     else:
         if hosted.state is states.HostedState.CLAIMING:
             keys.detach(state, hosted)
-        _end_slot(state, hosted, out)
+        _release_slot(state, hosted, out)
 
 
 def on_backend_answered(
@@ -142,7 +144,7 @@
     if hosted is None or hosted.state is not states.HostedState.RUNNING:
         return
     if not event.executed:
-        _on_turned_away(state, hosted, event.status, out)
+        _on_not_executed(state, hosted, event.status, out)
         return
     state.backend.answered_at = event.now
     if event.status in calls.OVERLOAD_STATUSES:
@@ -151,17 +153,19 @@
         if not hosted.child_failed:
             admission.record_backend_refusal(state)
     else:
-        _note_times(state, hosted, event.now - hosted.started_at)
+        _record_times(state, hosted, event.now - hosted.started_at)
         admission.record_backend_success(state)
     if event.whole and event.status < calls.FIRST_FAILURE_STATUS:
         quarantine.record_run(state, hosted.metadata.fingerprint, out)
     if event.whole:
-        _end_slot(state, hosted, out, pump=False)
+        _release_slot(state, hosted, out, start_next=False)
     else:
         hosted.state = states.HostedState.STREAMING
     replies.send_answer(state, hosted, out, whole=event.whole)
     if hosted.metadata.key:
-        replies.finish_key(state, hosted, out, kept=event.whole, certain=True)
+        replies.finish_key(
+            state, hosted, out, answer_stored=event.whole, outcome_known=True
+        )
     if event.whole:
         start_queued(state, out)
 
@@ -174,7 +178,7 @@
     if hosted is None or hosted.state is not states.HostedState.STREAMING:
         return
     quarantine.record_run(state, hosted.metadata.fingerprint, out)
-    _end_slot(state, hosted, out)
+    _release_slot(state, hosted, out)
 
 
 def on_backend_failed(
@@ -186,23 +190,25 @@
         return
     if hosted.state is states.HostedState.STREAMING:
         backend_crashes.record_broken_call(state, hosted, out)
-        _end_slot(state, hosted, out)
+        _release_slot(state, hosted, out)
         return
     if hosted.state is not states.HostedState.RUNNING:
         return
     if event.dispatched:
-        _on_broken(state, hosted, out)
+        _on_connection_broken(state, hosted, out)
         return
-    state.backend.unreachable_until = event.now + UNREACHABLE_MS
-    _end_slot(state, hosted, out, pump=False)
+    state.backend.unreachable_until = event.now + UNREACHABLE_PAUSE_MS
+    _release_slot(state, hosted, out, start_next=False)
     if hosted.metadata.key:
-        replies.fail_key(state, hosted, out, handed=False)
+        replies.fail_key(state, hosted, out, dispatched=False)
     if not hosted.orphaned:
         replies.refuse(state, hosted, decisions.Rule.BACKEND_UNREACHABLE, out)
     start_queued(state, out)
 
 
-def _on_broken(state: states.State, hosted: states.Hosted, out: states.Effects) -> None:
+def _on_connection_broken(
+    state: states.State, hosted: states.Hosted, out: states.Effects
+) -> None:
     """Take in that the connection under a call broke.
 
     What its entry node is told waits for the answer to whether the backend server
@@ -210,8 +216,8 @@
     """
     backend_crashes.record_broken_call(state, hosted, out)
     if hosted.metadata.key:
-        replies.fail_key(state, hosted, out, handed=True)
-    _end_slot(state, hosted, out, pump=False)
+        replies.fail_key(state, hosted, out, dispatched=True)
+    _release_slot(state, hosted, out, start_next=False)
     if not hosted.orphaned:
         hosted.state = states.HostedState.CHECKING
         state.hosted[hosted.id] = hosted
@@ -234,38 +240,40 @@
             rule = decisions.Rule.QUARANTINED
         elif ended:
             rule = decisions.Rule.BACKEND_ENDED
-        replies.refuse(state, hosted, rule, out, handed=True)
+        replies.refuse(state, hosted, rule, out, dispatched=True)
     return ended
 
 
-def _note_times(
+def _record_times(
     state: states.State, hosted: states.Hosted, elapsed: ids.Milliseconds
 ) -> None:
     saturation.record_time(state, hosted, elapsed)
     admission.record_service_time(state, hosted.metadata.kind, elapsed)
 
 
-def _on_turned_away(
+def _on_not_executed(
     state: states.State, hosted: states.Hosted, status: int, out: states.Effects
 ) -> None:
     """Take in that the backend server said that it did not run a call."""
     room = admission.has_room(state)
-    _end_slot(state, hosted, out, pump=False)
+    _release_slot(state, hosted, out, start_next=False)
     if hosted.metadata.key:
-        replies.fail_key(state, hosted, out, handed=False)
+        replies.fail_key(state, hosted, out, dispatched=False)
     if status == messages.MISDIRECTED:
         # Another instance has the address now; the announced one is gone.
-        _lose_backend(state, out)
+        _mark_backend_absent(state, out)
         replies.refuse(state, hosted, decisions.Rule.NO_BACKEND, out)
         return
     admission.record_backend_refusal(state)
     if not hosted.orphaned:
         rule = decisions.Rule.BACKEND_REFUSED
-        replies.refuse(state, hosted, rule, out, arrived=True, room=room)
+        replies.refuse(
+            state, hosted, rule, out, reached_backend=True, had_free_slots=room
+        )
     start_queued(state, out)
 
 
-def _lose_backend(state: states.State, out: states.Effects) -> None:
+def _mark_backend_absent(state: states.State, out: states.Effects) -> None:
     backend = state.backend
     if backend.present:
         text = f"{backend.service} {backend.instance} no longer has its address."
@@ -285,14 +293,16 @@
     for hosted in list(state.hosted.values()):
         if hosted.state is states.HostedState.STREAMING:
             out.append(effects.CancelBackend(hosted=hosted.id))
-            _end_slot(state, hosted, out, pump=False)
+            _release_slot(state, hosted, out, start_next=False)
         elif hosted.state is states.HostedState.RUNNING:
             if hosted.metadata.key:
-                replies.fail_key(state, hosted, out, handed=True)
+                replies.fail_key(state, hosted, out, dispatched=True)
             if not hosted.orphaned:
-                replies.refuse(state, hosted, rule, out, handed=True, ended=False)
+                replies.refuse(
+                    state, hosted, rule, out, dispatched=True, finished=False
+                )
             out.append(effects.CancelBackend(hosted=hosted.id))
-            _end_slot(state, hosted, out, pump=False)
+            _release_slot(state, hosted, out, start_next=False)
 
 
 def drop_overdue(state: states.State, out: states.Effects) -> None:
@@ -315,11 +325,13 @@
         replies.refuse(state, hosted, decisions.Rule.QUEUE_EXPIRED, out)
     elif hosted.state is states.HostedState.CLAIMING:
         keys.detach(state, hosted)
-        _end_slot(state, hosted, out, pump=False)
+        _release_slot(state, hosted, out, start_next=False)
         replies.refuse(state, hosted, decisions.Rule.LOG_UNAVAILABLE, out)
         start_queued(state, out)
     elif hosted.state in _SLOTLESS_STATES:
-        replies.refuse(state, hosted, decisions.Rule.DEADLINE_PASSED, out, handed=True)
+        replies.refuse(
+            state, hosted, decisions.Rule.DEADLINE_PASSED, out, dispatched=True
+        )
     elif hosted.state is states.HostedState.RUNNING:
         _end_running(state, hosted, out)
 
@@ -329,17 +341,17 @@
 ) -> None:
     if not hosted.orphaned:
         rule = decisions.Rule.DEADLINE_PASSED
-        replies.refuse(state, hosted, rule, out, handed=True, ended=False)
+        replies.refuse(state, hosted, rule, out, dispatched=True, finished=False)
     if hosted.metadata.repeatable:
         out.append(effects.CancelBackend(hosted=hosted.id))
-        _end_slot(state, hosted, out)
+        _release_slot(state, hosted, out)
         return
     keep_ms = ORPHAN_MS if hosted.metadata.key else UNKEYED_ORPHAN_MS
     if hosted.orphaned and state.now >= hosted.deadline + keep_ms:
         out.append(effects.CancelBackend(hosted=hosted.id))
         if hosted.metadata.key:
-            replies.fail_key(state, hosted, out, handed=True)
-        _end_slot(state, hosted, out)
+            replies.fail_key(state, hosted, out, dispatched=True)
+        _release_slot(state, hosted, out)
         return
     # An unrepeatable call that has begun is not cancelled: its answer is kept
     # for the caller's repeat.
@@ -357,7 +369,7 @@
     entry = state.keys.get(hosted.metadata.key)
     if entry is None and hosted.metadata.ticket:
         entry = keys.own(state, hosted.metadata.key)
-    if entry is not None and _settled(state, hosted, entry, out):
+    if entry is not None and _handle_known_key(state, hosted, entry, out):
         return
     if not keys.claims_usable(state) or not keys.covered(state, hosted):
         withdraw(state, hosted, decisions.Rule.LOG_UNAVAILABLE, out)
@@ -366,7 +378,7 @@
     keys.attach(state, hosted)
 
 
-def _settled(
+def _handle_known_key(
     state: states.State,
     hosted: states.Hosted,
     entry: states.KeyEntry,
@@ -384,7 +396,7 @@
     if entry.phase is states.KeyPhase.CLAIMING and entry.hosted is None:
         return False
     admission.free_slot(state)
-    replies.is_repeat(state, hosted, out)
+    replies.handle_repeat(state, hosted, out)
     start_queued(state, out)
     return True
 
@@ -453,7 +465,9 @@
     start_queued(state, out)
 
 
-def _unfit(state: states.State, hosted: states.Hosted) -> decisions.Rule | None:
+def _unavailable_rule(
+    state: states.State, hosted: states.Hosted
+) -> decisions.Rule | None:
     backend = state.backend
     if backend.leaving or state.departed:
         return decisions.Rule.LEAVING
@@ -473,7 +487,7 @@
     wait = admission.expected_wait(state, kind, hosted.rank)
     left = hosted.deadline - state.now
     if hosted.metadata.depth > 0 and not wait:
-        needed *= SUNK_SHARE
+        needed *= MIN_CHILD_TIME_SHARE
     if left <= 0 or needed + wait > left:
         rule = decisions.Rule.NOT_IN_TIME
         replies.refuse(state, hosted, rule, out, figures=(left, needed, wait))
@@ -495,14 +509,14 @@
         replies.refuse(state, state.hosted[dropped], decisions.Rule.QUEUE_FULL, out)
 
 
-def _end_slot(
+def _release_slot(
     state: states.State,
     hosted: states.Hosted,
     out: states.Effects,
     *,
-    pump: bool = True,
+    start_next: bool = True,
 ) -> None:
     admission.free_slot(state)
     replies.forget(state, hosted)
-    if pump:
+    if start_next:
         start_queued(state, out)
--- a/src/gingerturn/internal/core/reducer.py
+++ b/src/gingerturn/internal/core/reducer.py
@@ -515,7 +515,7 @@
     if not state.departed and state.now >= state.depart_at:
         _depart(state, out)
     if state.now >= state.stop_by:
-        calls.give_up_all(state, out)
+        calls.refuse_all(state, out)
     elif state.calls or state.hosted or state.now < state.stop_after:
         return
     state.stopped = True
--- a/src/gingerturn/internal/core/replies.py
+++ b/src/gingerturn/internal/core/replies.py
@@ -22,13 +22,13 @@
     rule: decisions.Rule,
     out: states.Effects,
     *,
-    handed: bool = False,
+    dispatched: bool = False,
     outcome: messages.Outcome | None = None,
     holder: str = "",
-    ended: bool = True,
+    finished: bool = True,
     figures: tuple[float, ...] | None = None,
-    arrived: bool = False,
-    room: bool = False,
+    reached_backend: bool = False,
+    had_free_slots: bool = False,
 ) -> None:
     """Refuse a call towards its entry node.
 
@@ -50,7 +50,7 @@
         )
     decision = decide(state, hosted, rule, out, figures)
     if outcome is None:
-        outcome = messages.Outcome.UNKNOWN if handed else messages.Outcome.NOT_RUN
+        outcome = messages.Outcome.UNKNOWN if dispatched else messages.Outcome.NOT_RUN
     report = admission.load_report(state, hosted.metadata.kind)
     level = max(report.level, report.tree_level)
     retry_after_ms = admission.retry_after_ms(state, hosted.rank, level)
@@ -65,14 +65,14 @@
                 retry_after_ms=retry_after_ms,
                 decision=decision,
                 holder=holder,
-                reached_backend=arrived,
-                had_free_slots=room,
+                reached_backend=reached_backend,
+                had_free_slots=had_free_slots,
             ),
             tokens=hosted.tokens,
             report=report,
         )
     )
-    if ended:
+    if finished:
         forget(state, hosted)
 
 
@@ -83,14 +83,16 @@
     out: states.Effects,
     *,
     holder: str = "",
-    handed: bool = False,
+    dispatched: bool = False,
     outcome: messages.Outcome | None = None,
 ) -> None:
     """Refuse a repeat that waited for the first call of its key."""
     hosted = state.hosted.get(hosted_id)
     if hosted is None or hosted.state is not states.HostedState.WAITING:
         return
-    refuse(state, hosted, rule, out, holder=holder, handed=handed, outcome=outcome)
+    refuse(
+        state, hosted, rule, out, holder=holder, dispatched=dispatched, outcome=outcome
+    )
 
 
 def refuse_queue(
@@ -161,7 +163,9 @@
     state.hosted_by_span.pop(hosted.span, None)
 
 
-def is_repeat(state: states.State, hosted: states.Hosted, out: states.Effects) -> bool:
+def handle_repeat(
+    state: states.State, hosted: states.Hosted, out: states.Effects
+) -> bool:
     """Answer, or let wait, a call whose key is known here.
 
     :return: ``False`` when the call is to go on to admission.
@@ -192,7 +196,7 @@
     out: states.Effects,
 ) -> None:
     if not entry.outcome_known:
-        refuse(state, hosted, decisions.Rule.OUTCOME_UNKNOWN, out, handed=True)
+        refuse(state, hosted, decisions.Rule.OUTCOME_UNKNOWN, out, dispatched=True)
         return
     if not entry.answer_stored:
         outcome = messages.Outcome.ALREADY_RUN
@@ -216,12 +220,12 @@
     hosted: states.Hosted,
     out: states.Effects,
     *,
-    kept: bool,
-    certain: bool,
+    answer_stored: bool,
+    outcome_known: bool,
 ) -> None:
     """Enter the last phase of a key and tell the repeats that waited."""
     entry = state.keys[hosted.metadata.key]
-    keys.mark_done(entry, kept=kept, certain=certain)
+    keys.mark_done(entry, kept=answer_stored, certain=outcome_known)
     waiters = list(entry.waiters)
     entry.waiters.clear()
     for waiter_id in waiters:
@@ -231,14 +235,14 @@
 
 
 def fail_key(
-    state: states.State, hosted: states.Hosted, out: states.Effects, *, handed: bool
+    state: states.State, hosted: states.Hosted, out: states.Effects, *, dispatched: bool
 ) -> None:
     """Take in that the call that holds a key failed.
 
     :param handed: the backend server may have run it.
     """
-    if handed:
-        finish_key(state, hosted, out, kept=False, certain=False)
+    if dispatched:
+        finish_key(state, hosted, out, answer_stored=False, outcome_known=False)
         return
     entry = state.keys[hosted.metadata.key]
     keys.mark_not_dispatched(entry)
--- a/src/gingerturn/internal/core/routing.py
+++ b/src/gingerturn/internal/core/routing.py
@@ -11,22 +11,22 @@
     upstreams,
 )
 
-ASK_AFTER_MS = 150.0
+LEVEL_REQUEST_INTERVAL_MS = 150.0
 """A level that keeps calls back is asked for anew after this time. Sending a call
 to find out costs the work that is lost when it is shed further down: with fading
 alone, a kind that was shed whole sent a burst of hopeless calls every 3 s."""
 
-ASKED_AT_ONCE = 4
+LEVEL_REQUEST_FANOUT = 4
 """Upstreams asked at once, drawn anew each time, so that a large service costs no
 more questions than a small one."""
 
-ALL_WEIGHED = 8
+FULL_COMPARISON_LIMIT = 8
 """Up to so many upstreams are all weighed against each other, so that a near one is
 found whenever there is one. Of more, some are drawn: weighing hundreds costs time, and
 all entries would choose the same one by the same old reports."""
 
-NEAR_DRAWN = 3
-ANY_DRAWN = 2
+SAME_ZONE_SAMPLE = 3
+ANY_ZONE_SAMPLE = 2
 """Drawn of many: three in the own zone, and two anywhere, by which a zone whose
 upstreams are all busy spills. Of two drawn anywhere, in three zones, both are in other
 zones four times in nine."""
@@ -69,20 +69,20 @@
     if not nodes:
         return None
     service = state.membership.members[nodes[0]].service
-    if not _passes_below(state, service, kind, rank):
+    if not _children_accept(state, service, kind, rank):
         return None
-    many = len(nodes) > ALL_WEIGHED
-    few = _drawn(state, service, nodes) if many else nodes
-    taking = _taking(state, service, few, rank)
+    many = len(nodes) > FULL_COMPARISON_LIMIT
+    few = _sample_candidates(state, service, nodes) if many else nodes
+    taking = _accepting(state, service, few, rank)
     if not taking and many:
-        taking = _found(state, service, nodes, rank)
+        taking = _find_accepting(state, service, nodes, rank)
     if not taking:
         return None
     apart = upstream_costs.zone_penalty(state, kind)
     return min(taking, key=lambda node: upstream_costs.cost_of(state, node, apart))
 
 
-def _found(
+def _find_accepting(
     state: states.State,
     service: ids.ServiceName,
     nodes: list[ids.NodeId],
@@ -98,12 +98,12 @@
     start = int(state.random.random() * len(nodes))
     for offset in range(len(nodes)):
         node = nodes[(start + offset) % len(nodes)]
-        if _taking(state, service, [node], rank):
+        if _accepting(state, service, [node], rank):
             return [node]
     return []
 
 
-def _passes_below(
+def _children_accept(
     state: states.State, service: ids.ServiceName, kind: str, rank: ids.Rank
 ) -> bool:
     """Tell whether the services below are expected to take what a call goes on to.
@@ -118,7 +118,7 @@
     return ranks.deep_rank(rank) >= known.level
 
 
-def _taking(
+def _accepting(
     state: states.State,
     service: ids.ServiceName,
     few: list[ids.NodeId],
@@ -150,7 +150,7 @@
     return ranks.deep_rank(rank) if state.routed else rank
 
 
-def _drawn(
+def _sample_candidates(
     state: states.State, service: ids.ServiceName, nodes: list[ids.NodeId]
 ) -> list[ids.NodeId]:
     """Draw some of many upstreams, near ones first."""
@@ -160,10 +160,14 @@
     else:
         members = state.membership.members
         near = [node for node in nodes if members[node].zone == state.zone]
-    return _some(state, near, NEAR_DRAWN) + _some(state, nodes, ANY_DRAWN)
+    return _sample(state, near, SAME_ZONE_SAMPLE) + _sample(
+        state, nodes, ANY_ZONE_SAMPLE
+    )
 
 
-def _some(state: states.State, nodes: list[ids.NodeId], count: int) -> list[ids.NodeId]:
+def _sample(
+    state: states.State, nodes: list[ids.NodeId], count: int
+) -> list[ids.NodeId]:
     """Draw a few at equal distances from a random one on.
 
     With 34 upstreams random.sample() took 3.7 us, longer than the rest of a choice.
@@ -199,13 +203,15 @@
 ) -> None:
     """Ask some upstreams of a service whose level is in force but not fresh."""
     held = levels.expected_level(state, service, kind)
-    if held.level <= 0 or state.now - held.reported_at < ASK_AFTER_MS:
+    if held.level <= 0 or state.now - held.reported_at < LEVEL_REQUEST_INTERVAL_MS:
         return
     known = levels.service_level_of(state, service, kind)
-    if state.now - known.requested_at < ASK_AFTER_MS:
+    if state.now - known.requested_at < LEVEL_REQUEST_INTERVAL_MS:
         return
     known.requested_at = state.now
-    for node in _some(state, upstreams.candidates(state, service), ASKED_AT_ONCE):
+    for node in _sample(
+        state, upstreams.candidates(state, service), LEVEL_REQUEST_FANOUT
+    ):
         member = state.membership.members[node]
         out.append(
             effects.RequestLevel(
--- a/src/gingerturn/internal/core/sending.py
+++ b/src/gingerturn/internal/core/sending.py
@@ -24,22 +24,22 @@
 without a token. Nothing ran, so this is no retry in the sense of the allowance;
 two are enough to pass a full and a leaving upstream."""
 
-MAX_TURNED_AWAY = 8
+MAX_REJECTED_ATTEMPTS = 8
 """Attempts of one call that upstreams turn away though they have room. Where they turn
 away 55 % of what comes, 8 attempts reach 99 % of it; the budget bounds the sum."""
 
-COME_BACK_SPREAD_MS = 1_000.0
+QUARANTINE_RETRY_JITTER_MS = 1_000.0
 """Callers of a request that is kept out come back one to two seconds after it may be
 tried, so that they do not come together."""
 
-REFUSED_KEPT_MS = 10.0
+REFUSED_RANK_TTL_MS = 10.0
 """A rank that no upstream took is not tried again for this long: under a flood that
 saves weighing every upstream for each call."""
 
 
 def begin(state: states.State, call: states.Call, out: states.Effects) -> None:
     """Let a call begin."""
-    earn(state, call)
+    earn_retry_budget(state, call)
     send_first(state, call, out)
 
 
@@ -49,7 +49,7 @@
         _send_to_holder(state, call, out)
         return
     if quarantine.entry_of(state, call.fingerprint) is not None:
-        _try_or_refuse(state, call, out)
+        _send_trial_or_refuse(state, call, out)
         return
     nodes = upstreams.candidates(state, call.service)
     if not nodes:
@@ -57,12 +57,12 @@
             refusals.refuse(state, call, decisions.Rule.NO_UPSTREAM, out)
         return
     refused = (call.service, call.rule.name, call.rank & ranks.DEEP_BIT)
-    if state.now - state.refused_since > REFUSED_KEPT_MS:
+    if state.now - state.refused_since > REFUSED_RANK_TTL_MS:
         state.refused_ranks.clear()
     if not call.key and call.rank <= state.refused_ranks.get(refused, -1):
         _refuse_by_level(state, call, out)
         return
-    node = _pick(state, call, nodes)
+    node = _first_upstream(state, call, nodes)
     if node is None:
         if not state.refused_ranks:
             state.refused_since = state.now
@@ -73,16 +73,20 @@
     _send(state, call, node, out)
 
 
-def _try_or_refuse(state: states.State, call: states.Call, out: states.Effects) -> None:
+def _send_trial_or_refuse(
+    state: states.State, call: states.Call, out: states.Effects
+) -> None:
     """Refuse a call that is kept out, or send it to the home that is to try it."""
     node = quarantine.trial_node(state, call)
     if node is not None:
         _send(state, call, node, out)
         return
-    _keep_out(state, call, out)
+    _refuse_quarantined(state, call, out)
 
 
-def _keep_out(state: states.State, call: states.Call, out: states.Effects) -> None:
+def _refuse_quarantined(
+    state: states.State, call: states.Call, out: states.Effects
+) -> None:
     """Refuse a call that is kept out; its callers hear when it may be tried again."""
     wait = quarantine.trial_due_in(state, call.fingerprint)
     refusals.refuse(
@@ -90,7 +94,7 @@
         call,
         decisions.Rule.QUARANTINED,
         out,
-        retry_after=wait + COME_BACK_SPREAD_MS * (1.0 + state.random.random()),
+        retry_after=wait + QUARANTINE_RETRY_JITTER_MS * (1.0 + state.random.random()),
         figures=quarantine.decision_figures(state, call.fingerprint),
     )
 
@@ -111,14 +115,16 @@
     return call.rule.repeatable and call.replayable
 
 
-def can_go_elsewhere(state: states.State, call: states.Call) -> bool:
+def can_retry_elsewhere(state: states.State, call: states.Call) -> bool:
     """Tell whether a call that may have run can be sent to another upstream now."""
     if not may_repeat(call) or quarantine.entry_of(state, call.fingerprint):
         return False
     budget = _budget(state, call.service)
     if call.tokens < 1 or budget.held < 1.0 or call.rank < _retry_cut(state, budget):
         return False
-    node = routing.choose(state, _others(state, call), call.rule.name, call.rank)
+    node = routing.choose(
+        state, _untried_upstreams(state, call), call.rule.name, call.rank
+    )
     return node is not None and state.now < call.deadline
 
 
@@ -128,10 +134,12 @@
         return False
     if state.now >= call.deadline or quarantine.entry_of(state, call.fingerprint):
         return False
-    node = routing.choose(state, _others(state, call), call.rule.name, call.rank)
+    node = routing.choose(
+        state, _untried_upstreams(state, call), call.rule.name, call.rank
+    )
     if node is None:
         return False
-    _offer(state, call, node, out)
+    _send_redirected(state, call, node, out)
     return True
 
 
@@ -152,7 +160,7 @@
     if member is None or not known or call.redirects >= MAX_REDIRECTS:
         refusals.refuse(state, call, decisions.Rule.OUTCOME_UNKNOWN, out)
         return
-    _offer(state, call, member.node, out)
+    _send_redirected(state, call, member.node, out)
 
 
 def retry(
@@ -160,8 +168,8 @@
     call: states.Call,
     out: states.Effects,
     *,
-    ran: bool = True,
-    room: bool = False,
+    may_have_run: bool = True,
+    had_free_slots: bool = False,
 ) -> bool:
     """Send a call again, for a token and out of the budget.
 
@@ -172,18 +180,18 @@
     """
     budget = _budget(state, call.service)
     figures = (float(call.tokens), budget.held, float(call.attempts))
-    allowed = may_repeat(call) if ran else call.replayable and not call.holder
+    allowed = may_repeat(call) if may_have_run else call.replayable and not call.holder
     if not allowed or state.now >= call.deadline:
         return False
     if quarantine.entry_of(state, call.fingerprint):
         found = quarantine.decision_figures(state, call.fingerprint)
         refusals.decide(state, call, decisions.Rule.QUARANTINED, out, found)
         return False
-    back = room and call.attempts < MAX_TURNED_AWAY
+    back = had_free_slots and call.attempts < MAX_REJECTED_ATTEMPTS
     if call.tokens < 1 and not back:
         refusals.decide(state, call, decisions.Rule.RETRY_NO_ALLOWANCE, out, figures)
         return False
-    node = _next_upstream(state, call, back=back)
+    node = _next_upstream(state, call, allow_tried=back)
     if node is None:
         refusals.decide(state, call, decisions.Rule.RETRY_NO_UPSTREAM, out, figures)
         return False
@@ -205,14 +213,14 @@
 
 
 def _next_upstream(
-    state: states.State, call: states.Call, *, back: bool
+    state: states.State, call: states.Call, *, allow_tried: bool
 ) -> ids.NodeId | None:
     """Return where to send a call again: to another upstream for a token, or back to
     one that turned it away though it had room."""
     kind = call.rule.name
     if call.tokens >= 1:
-        node = routing.choose(state, _others(state, call), kind, call.rank)
-        if node is not None or not back:
+        node = routing.choose(state, _untried_upstreams(state, call), kind, call.rank)
+        if node is not None or not allow_tried:
             return node
     nodes = [
         n
@@ -234,7 +242,7 @@
     return allowance.WINDOW_MS if bound is None else bound.window_ms
 
 
-def earn(state: states.State, call: states.Call) -> None:
+def earn_retry_budget(state: states.State, call: states.Call) -> None:
     """Let a first attempt earn its share of the service's retry budget."""
     budget = _budget(state, call.service)
     share = state.configuration.service(call.service).retry_share
@@ -285,7 +293,7 @@
     return member if str(member.incarnation) == incarnation else None
 
 
-def _pick(
+def _first_upstream(
     state: states.State, call: states.Call, nodes: list[ids.NodeId]
 ) -> ids.NodeId | None:
     if call.key:
@@ -306,12 +314,12 @@
     )
 
 
-def _others(state: states.State, call: states.Call) -> list[ids.NodeId]:
+def _untried_upstreams(state: states.State, call: states.Call) -> list[ids.NodeId]:
     nodes = upstreams.candidates(state, call.service)
     return [node for node in nodes if node not in call.tried_upstreams]
 
 
-def _offer(
+def _send_redirected(
     state: states.State, call: states.Call, node: ids.NodeId, out: states.Effects
 ) -> None:
     """Send a call that was not run where it was to another node."""
--- a/src/gingerturn/internal/core/slot_costs.py
+++ b/src/gingerturn/internal/core/slot_costs.py
@@ -20,11 +20,11 @@
 WEIGHT = 0.1
 """Of one report in the mean, over some ten: the times of one kind vary by half."""
 
-RENEW_MS = 100.0
+RECOMPUTE_INTERVAL_MS = 100.0
 """What a kind takes is worked out at most once in a control window: it moves slowly and
 rides on each answer."""
 
-MOST_RUNS = 256
+MAX_RUNS = 256
 """Runs looked back on for the calls that one run makes; then both counts are halved."""
 
 MAX_EXPONENT = 8.0
@@ -43,7 +43,7 @@
     """Count a run of a kind at the backend server here."""
     fanout = costs.fanouts.setdefault(kind, states.Fanout())
     fanout.runs += 1.0
-    if fanout.runs < MOST_RUNS:
+    if fanout.runs < MAX_RUNS:
         return
     fanout.runs /= 2.0
     fanout.calls = {what: count / 2.0 for what, count in fanout.calls.items()}
@@ -70,7 +70,9 @@
     known.slot_ms += WEIGHT * (report.bottleneck_slot_ms - known.slot_ms)
 
 
-def ordered(costs: states.Costs, kind: str, importance: int, root: int) -> ids.RootHash:
+def shedding_hash(
+    costs: states.Costs, kind: str, importance: int, root: int
+) -> ids.RootHash:
     """Return the hash of a root moved down as far as its kind is dearer than the
     cheapest of its importance that ends at the same scarce service."""
     costs.root_importance[kind] = importance
@@ -99,14 +101,14 @@
     """Return what a request of a kind takes of the service that sheds most, here or
     below."""
     known = state.costs.local.get(kind)
-    if known is not None and state.now - known[0] < RENEW_MS:
+    if known is not None and state.now - known[0] < RECOMPUTE_INTERVAL_MS:
         return known[1]
-    cost = _work_out(state, kind)
+    cost = _compute_cost(state, kind)
     state.costs.local[kind] = (state.now, cost)
     return cost
 
 
-def _work_out(state: states.State, kind: str) -> states.TreeCost:
+def _compute_cost(state: states.State, kind: str) -> states.TreeCost:
     backend = state.backend
     highest = backend.level
     measured = backend.times.get(kind)
--- a/src/gingerturn/internal/core/upstream_costs.py
+++ b/src/gingerturn/internal/core/upstream_costs.py
@@ -10,13 +10,13 @@
 until its upstreams are busier by 15 % of their limit, which bounds both the
 traffic between zones and the imbalance that staying may cause."""
 
-MOST_ZONE_SHARE = 4.0
+MAX_ZONE_PENALTY_FACTOR = 4.0
 """The penalty grows with the size of a kind over the mean of all calls, up to this:
 large bodies leave the zone last, so that the same balance moves fewer bytes. With
 bodies of 5 and 7 kB in two kinds of seven, 0.044 GB went between zones in 50 s of some
 400 requests a second, 0.059 GB with one penalty for all."""
 
-SLOW_PENALTY = 0.1
+SLOWNESS_PENALTY = 0.1
 """Added in proportion to the time of an upstream's answers over the mean of their
 kinds. One that turns twelve times slower costs as much as a full one and gets few
 calls, so that trees which call it several times in a row do not time out there: worth
@@ -32,7 +32,7 @@
 SLOWNESS_WEIGHT = 0.1
 """Of one answer in the slowness of its upstream, over some ten."""
 
-MOST_SLOWNESS = 20.0
+MAX_SLOWNESS = 20.0
 """One answer counts as at most so many times the mean of its kind."""
 
 SLOWNESS_HALF_LIFE_MS = 2_000.0
@@ -73,12 +73,12 @@
     if known is None:
         state.occupancies[side] = states.Occupancy(mean=told, reported_at=state.now)
         return
-    mean = _usual_occupancy(state, member)
+    mean = _mean_occupancy(state, member)
     known.mean = mean + OCCUPANCY_WEIGHT * (told - mean)
     known.reported_at = state.now
 
 
-def _usual_occupancy(state: states.State, member: messages.Member) -> float:
+def _mean_occupancy(state: states.State, member: messages.Member) -> float:
     """Return what part of the limit is taken at upstreams of the same service, of the
     own zone or of the others."""
     known = state.occupancies.get((member.service, member.zone == state.zone))
@@ -103,7 +103,7 @@
     known.size += TRAFFIC_WEIGHT * (size - known.size)
     weight = MEAN_SIZE_WEIGHT if state.mean_call_size else 1.0
     state.mean_call_size += weight * (size - state.mean_call_size)
-    relative = min(MOST_SLOWNESS, elapsed / max(1.0, known.elapsed))
+    relative = min(MAX_SLOWNESS, elapsed / max(1.0, known.elapsed))
     upstream = upstreams.upstream_of(state, node)
     upstream.slowness = _slowness(upstream, state.now)
     upstream.slowness += SLOWNESS_WEIGHT * (relative - upstream.slowness)
@@ -125,10 +125,10 @@
     if known is None or state.mean_call_size <= 0.0:
         return ZONE_PENALTY
     share = known.size / state.mean_call_size
-    return ZONE_PENALTY * min(MOST_ZONE_SHARE, max(1.0, share))
+    return ZONE_PENALTY * min(MAX_ZONE_PENALTY_FACTOR, max(1.0, share))
 
 
-def cost_of(state: states.State, node: ids.NodeId, apart: float) -> float:
+def cost_of(state: states.State, node: ids.NodeId, other_zone_penalty: float) -> float:
     """Return what is to be expected of an upstream: a measure of its queue and speed,
     with penalties for another zone and for failures, and a small random part.
 
@@ -137,14 +137,14 @@
     member = state.membership.members.get(node)
     penalty = JITTER * state.random.random()
     if member is not None and member.zone != state.zone:
-        penalty += apart
+        penalty += other_zone_penalty
     upstream = state.upstreams.get(node)
     if upstream is None:
-        usual = 0.0 if member is None else _usual_occupancy(state, member)
-        return usual + SLOW_PENALTY + penalty
+        usual = 0.0 if member is None else _mean_occupancy(state, member)
+        return usual + SLOWNESS_PENALTY + penalty
     penalty += ERROR_PENALTY * upstream.error_rate
     slowness = _slowness(upstream, state.now)
-    return _occupancy(state, member, upstream) + SLOW_PENALTY * slowness + penalty
+    return _occupancy(state, member, upstream) + SLOWNESS_PENALTY * slowness + penalty
 
 
 def _occupancy(
@@ -154,4 +154,4 @@
     limit = upstream.limit or (member.slots if member else 0) or 1
     if state.now - upstream.load_reported_at <= LOAD_FRESH_MS or member is None:
         return (upstream.load + upstream.sent_since_report) / limit
-    return _usual_occupancy(state, member) + upstream.sent_since_report / limit
+    return _mean_occupancy(state, member) + upstream.sent_since_report / limit
--- a/src/gingerturn/internal/core/upstreams.py
+++ b/src/gingerturn/internal/core/upstreams.py
@@ -10,7 +10,7 @@
 from gingerturn.internal import ids
 from gingerturn.internal.core import state as states
 
-ANSWERED_LATELY_MS = 700.0
+RECENT_ANSWER_MS = 700.0
 """An answer counts against a suspicion for as long as a probe waits before it raises
 one: a node that froze is passed over no later than by the next suspicion."""
 
@@ -45,11 +45,11 @@
     pool = state.pools.get(service)
     version = state.membership.version
     if pool is None or pool.version != version or state.now >= pool.valid_until:
-        pool = state.pools[service] = _look_up(state, service)
+        pool = state.pools[service] = _build_pool(state, service)
     return pool
 
 
-def _look_up(state: states.State, service: ids.ServiceName) -> states.Pool:
+def _build_pool(state: states.State, service: ids.ServiceName) -> states.Pool:
     """Find out which upstreams are healthy.
 
     At most the declared share is ejected: where more are, ejection is passed
@@ -84,7 +84,7 @@
     due = math.inf
     if node in state.membership.suspected and not is_unresponsive(state, node):
         # One more than the time itself: only then does it count as passed.
-        due = upstream.load_reported_at + ANSWERED_LATELY_MS + 1.0
+        due = upstream.load_reported_at + RECENT_ANSWER_MS + 1.0
     if _ejected(state, node):
         due = min(due, upstream.ejected_until)
     return due
@@ -100,9 +100,7 @@
     if node not in state.membership.suspected:
         return False
     upstream = state.upstreams.get(node)
-    return (
-        upstream is None or state.now - upstream.load_reported_at > ANSWERED_LATELY_MS
-    )
+    return upstream is None or state.now - upstream.load_reported_at > RECENT_ANSWER_MS
 
 
 def record_answer(
--- a/tests/cover/test_exchanges_that_nobody_waits_for.py
+++ b/tests/cover/test_abandoned_exchanges.py
@@ -49,7 +49,7 @@
     return made
 
 
-def _home_with_a_call(channel: _Channel, *, repeatable: bool) -> nodes.Node:
+def _home_node_with_call(channel: _Channel, *, repeatable: bool) -> nodes.Node:
     node = nodes.Node(builders.settings("home"))
     node.apply(builders.announced("plans", now=clock.now()))
     terms = builders.call_terms(deadline_ms=700.0, repeatable=repeatable)
@@ -60,29 +60,31 @@
     return node
 
 
-def test_a_call_refused_at_its_deadline_is_worked_on_no_longer(
+def test_a_repeatable_call_is_cancelled_at_its_deadline(
     connection: _Connection,
 ) -> None:
     channel = _Channel()
-    node = _home_with_a_call(channel, repeatable=True)
+    node = _home_node_with_call(channel, repeatable=True)
     node.apply(events.Tick(now=node.state.now + 701.0))
     assert [type(frame) for frame in channel.sent] == [frames.Refuse]
     assert connection.closed
 
 
-def test_one_that_may_run_once_is_let_finish(connection: _Connection) -> None:
+def test_an_unrepeatable_call_is_left_to_finish_after_its_deadline(
+    connection: _Connection,
+) -> None:
     channel = _Channel()
-    node = _home_with_a_call(channel, repeatable=False)
+    node = _home_node_with_call(channel, repeatable=False)
     node.apply(events.Tick(now=node.state.now + 701.0))
     assert [type(frame) for frame in channel.sent] == [frames.Refuse]
     assert not connection.closed
 
 
-def test_a_stream_that_ends_with_its_start_is_said_to_be_broken(
+def test_an_abandoned_stream_is_reported_as_broken(
     connection: _Connection,
 ) -> None:
     channel = _Channel()
-    node = _home_with_a_call(channel, repeatable=True)
+    node = _home_node_with_call(channel, repeatable=True)
     (exchange,) = node.home._exchanges.values()
     exchange._streaming = True
     exchange.abandon()
--- a/tests/cover/test_backend_answers.py
+++ b/tests/cover/test_backend_answers.py
@@ -72,14 +72,14 @@
     assert not exchange.reusable
 
 
-def test_an_answer_without_a_length_that_is_reset_is_not_whole() -> None:
+def test_an_answer_without_a_length_that_is_reset_is_incomplete() -> None:
     exchange = Exchange()
     exchange.receive(b"HTTP/1.1 200 OK\r\nRequest-Id: r1\r\n\r\nab")
     exchange.connection.connection_lost(ConnectionResetError())
     assert (exchange.ends, exchange.failures) == (0, 1)
 
 
-def test_an_answer_cut_before_its_length_is_not_whole() -> None:
+def test_an_answer_cut_before_its_length_is_incomplete() -> None:
     exchange = Exchange()
     exchange.receive(_answer(b"r1")[:-1])
     exchange.connection.eof_received()
@@ -87,14 +87,14 @@
     assert (exchange.ends, exchange.failures) == (0, 1)
 
 
-def test_a_late_answer_to_an_earlier_request_is_passed_over() -> None:
+def test_a_late_answer_to_an_earlier_request_is_discarded() -> None:
     exchange = Exchange()
     exchange.receive(_answer(b"r0", b"old"), _answer(b"r1", b"new"))
     assert (exchange.ends, exchange.body) == (1, b"new")
     assert not exchange.reusable
 
 
-def test_a_late_answer_in_the_same_piece_is_passed_over() -> None:
+def test_a_late_answer_in_the_same_segment_is_discarded() -> None:
     exchange = Exchange()
     exchange.receive(_answer(b"r0", b"old") + _answer(b"r1", b"new"))
     assert (exchange.ends, exchange.body) == (1, b"new")
@@ -121,19 +121,19 @@
     assert not exchange.reusable
 
 
-def test_an_answer_counts_as_run_unless_it_says_otherwise() -> None:
+def test_an_answer_without_the_header_counts_as_executed() -> None:
     exchange = Exchange()
     exchange.receive(_answer(b"r1"))
     assert exchange.executed
 
 
-def test_an_answer_may_say_that_the_request_did_not_run() -> None:
+def test_an_answer_may_declare_that_the_request_was_not_executed() -> None:
     exchange = Exchange()
     exchange.receive(_answer(b"r1", extra=b"Not-Executed: 1\r\n"))
     assert not exchange.executed
 
 
-def test_two_lengths_that_differ_are_no_answer() -> None:
+def test_conflicting_content_lengths_fail_the_exchange() -> None:
     exchange = Exchange()
     exchange.receive(_answer(b"r1", extra=b"Content-Length: 9\r\n"))
     assert (exchange.ends, exchange.failures) == (0, 1)
--- a/tests/cover/test_backend_checks.py
+++ b/tests/cover/test_backend_checks.py
@@ -61,18 +61,18 @@
 REFUSED = ConnectionRefusedError()
 
 
-def test_refused_at_once_it_has_ended() -> None:
+def test_a_refused_connection_means_a_crash() -> None:
     assert _checked(REFUSED)[0]
 
 
-def test_a_connection_that_stands_serves_the_next_call() -> None:
+def test_a_connection_that_stays_open_is_kept_for_the_next_call() -> None:
     refused, pool = _checked(STANDS)
     assert not refused
     assert pool.kept == [STANDS]
 
 
 @pytest.mark.parametrize("first", [BROKEN, TimeoutError(), OSError()])
-def test_one_that_takes_another_connection_while_it_ends_has_ended(
+def test_a_connection_accepted_during_a_crash_does_not_hide_it(
     first: _Connection | Exception,
 ) -> None:
     refused, pool = _checked(first, REFUSED)
@@ -80,7 +80,7 @@
     assert not pool.kept
 
 
-def test_one_that_breaks_all_new_connections_and_refuses_none_has_not_ended() -> None:
+def test_broken_connections_without_a_refusal_are_no_crash() -> None:
     # It has as many connections as it takes.
     refused, pool = _checked(BROKEN, BROKEN, BROKEN)
     assert not refused
--- a/tests/cover/test_choice_of_upstream.py
+++ b/tests/cover/test_choice_of_upstream.py
@@ -39,7 +39,7 @@
     return state
 
 
-def _play(state: states.State, kind: str, size: int, call: int) -> None:
+def _run_call(state: states.State, kind: str, size: int, call: int) -> None:
     path = {SMALL: "/a/x", LARGE: "/b/x"}[kind]
     event = routed.arrived(call, path=path, now=state.now)
     sent = routed.sent_to(reducer.reduce(state, event))
@@ -63,15 +63,15 @@
         report = builders.report(load=1, limit=100)
         routing.on_load_report(state, ids.NodeId(node), SMALL, report)
     for call in range(1_000, 2_000, 2):
-        _play(state, SMALL, 400, call)
-        _play(state, LARGE, 20_000, call + 1)
+        _run_call(state, SMALL, 400, call)
+        _run_call(state, LARGE, 20_000, call + 1)
     assert set(_chosen(state, SMALL, near_load=30)) == {"far"}
     assert set(_chosen(state, LARGE, near_load=30)) == {"near"}
     # Not at any price: a zone without room is left by all.
     assert set(_chosen(state, LARGE, near_load=95)) == {"far"}
 
 
-def _told_by_sides(
+def _report_by_zone(
     state: states.State, *, near_load: int, far_load: int, far_age_ms: float
 ) -> None:
     """Let 20 upstreams of the own zone tell one load, and 75 others another earlier."""
@@ -87,28 +87,28 @@
         routing.on_load_report(state, member.node, SMALL, report)
 
 
-def _share_near(state: states.State) -> float:
+def _same_zone_share(state: states.State) -> float:
     nodes = upstreams.candidates(state, ids.ServiceName("plans"))
     chosen = (routing.choose(state, nodes, SMALL, ranks.HIGHEST) for _ in range(300))
     return sum("near" in str(node) for node in chosen) / 300
 
 
-def test_idle_upstreams_of_long_ago_do_not_draw_calls_out_of_the_zone() -> None:
+def test_stale_idle_loads_do_not_draw_calls_out_of_the_zone() -> None:
     state = routed.node_state(routed.route(SMALL), name="n1")
     state.zone = "z1"
-    _told_by_sides(state, near_load=40, far_load=25, far_age_ms=2_000.0)
+    _report_by_zone(state, near_load=40, far_load=25, far_age_ms=2_000.0)
     for _ in range(5):
         # Of the others the few that were tried tell that they are busier by now.
         report = builders.report(load=45, limit=100)
         routing.on_load_report(state, ids.NodeId("far-0"), SMALL, report)
-    assert _share_near(state) > 0.9
+    assert _same_zone_share(state) > 0.9
 
 
-def test_a_zone_that_is_much_busier_than_the_others_are_said_to_be_is_left() -> None:
+def test_calls_leave_a_zone_much_busier_than_the_reported_mean_of_others() -> None:
     state = routed.node_state(routed.route(SMALL), name="n1")
     state.zone = "z1"
-    _told_by_sides(state, near_load=90, far_load=25, far_age_ms=2_000.0)
-    assert _share_near(state) < 0.2
+    _report_by_zone(state, near_load=90, far_load=25, far_age_ms=2_000.0)
+    assert _same_zone_share(state) < 0.2
 
 
 def test_a_slow_upstream_gets_few_calls_and_is_tried_again_later() -> None:
@@ -133,7 +133,7 @@
     assert later.count(ids.NodeId("n2")) > 20
 
 
-def test_whole_requests_keep_completing_beside_one_slow_upstream(
+def test_slowness_penalty_keeps_requests_completing_beside_a_slow_upstream(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def played() -> sites.Result:
@@ -145,6 +145,6 @@
         return run.play()
 
     with_it = played()
-    monkeypatch.setattr(upstream_costs, "SLOW_PENALTY", 0.0)
+    monkeypatch.setattr(upstream_costs, "SLOWNESS_PENALTY", 0.0)
     without = played()
     assert with_it.worth > without.worth + 0.005
--- a/tests/cover/test_decisions_under_load.py
+++ b/tests/cover/test_decisions_under_load.py
@@ -339,7 +339,7 @@
     state = _entry("p1")
     high = builders.report(level=ranks.HIGHEST)
     routing.on_load_report(state, ids.NodeId("p1"), "plan-status", high)
-    later = state.now + routing.ASK_AFTER_MS + 1
+    later = state.now + routing.LEVEL_REQUEST_INTERVAL_MS + 1
     out = reducer.reduce(state, builders.arrived(1, now=later))
     assert builders.only(out, effects.RequestLevel).node == "p1"
     told = events.LevelReported(
--- a/tests/cover/test_order_by_cost.py
+++ b/tests/cover/test_order_by_cost.py
@@ -39,13 +39,11 @@
     """Return the share of a kind's requests whose order is above a level."""
     drawn = random.Random(1)
     roots = [drawn.getrandbits(64) for _ in range(4_000)]
-    moved = [slot_costs.ordered(costs, kind, 5, root) for root in roots]
+    moved = [slot_costs.shedding_hash(costs, kind, 5, root) for root in roots]
     return sum(root >= level * 2**64 for root in moved) / len(moved)
 
 
-def test_the_dearer_of_two_kinds_is_shed_first_and_the_cheaper_keeps_its_order() -> (
-    None
-):
+def test_the_costlier_of_two_kinds_is_shed_first() -> None:
     costs = _costs(listing=120.0, status=480.0)
     assert _admitted(costs, CHEAP, 0.5) == pytest.approx(0.5, abs=0.03)
     assert _admitted(costs, DEAR, 0.5) == pytest.approx(1 - 0.5**0.25, abs=0.03)
@@ -53,20 +51,20 @@
     assert _admitted(costs, DEAR, 0.1) > 0.3
 
 
-def test_kinds_of_another_priority_or_another_scarce_service_move_nobody() -> None:
+def test_kinds_of_another_priority_or_bottleneck_do_not_change_the_order() -> None:
     costs = _costs(listing=120.0, status=480.0)
     costs.root_importance[CHEAP] = 7
-    assert slot_costs.ordered(costs, DEAR, 5, 1 << 63) == 1 << 63
+    assert slot_costs.shedding_hash(costs, DEAR, 5, 1 << 63) == 1 << 63
     costs = _costs(listing=120.0, status=480.0)
     costs.reported[CHEAP].service = ids.ServiceName("calendar")
-    assert slot_costs.ordered(costs, DEAR, 5, 1 << 63) == 1 << 63
+    assert slot_costs.shedding_hash(costs, DEAR, 5, 1 << 63) == 1 << 63
 
 
-def test_a_kind_of_which_nothing_was_told_keeps_its_order() -> None:
-    assert slot_costs.ordered(_costs(), ALONE, 5, 12_345) == 12_345
+def test_a_kind_without_a_reported_cost_keeps_its_order() -> None:
+    assert slot_costs.shedding_hash(_costs(), ALONE, 5, 12_345) == 12_345
 
 
-def test_a_home_tells_what_a_request_takes_of_the_service_below_that_sheds() -> None:
+def test_a_home_node_reports_the_cost_at_the_bottleneck_service_below() -> None:
     state = routed.node_state(
         routed.route("top"),
         routed.route("below", prefix="/b/", shares=(("tracker", 1),)),
@@ -85,7 +83,7 @@
             told = builders.report(level=1_000, scarce="tracker", slot_ms=30.0)
             answer = builders.answered(sent.attempt, told=told, now=state.now)
             reducer.reduce(state, answer)
-    state.now += slot_costs.RENEW_MS
+    state.now += slot_costs.RECOMPUTE_INTERVAL_MS
     report = slot_costs.report_of(state, "top")
     assert (report.service, report.slot_ms) == ("tracker", 120.0)
 
@@ -99,12 +97,12 @@
                 costs, "top", ids.ServiceName("s"), ids.KindName("below")
             )
     fanout = costs.fanouts["top"]
-    assert fanout.runs <= slot_costs.MOST_RUNS
+    assert fanout.runs <= slot_costs.MAX_RUNS
     (count,) = fanout.calls.values()
     assert count / fanout.runs == pytest.approx(3.0, rel=0.05)
 
 
-def test_what_is_known_of_a_kind_goes_with_its_route() -> None:
+def test_the_statistics_of_a_kind_are_dropped_with_its_route() -> None:
     state = routed.node_state(routed.route("top"), service="plans")
     sent = routed.sent_to(reducer.reduce(state, routed.arrived(1)))
     told = builders.report(scarce="tracker", slot_ms=30.0)
@@ -117,7 +115,7 @@
     assert not any(kept)
 
 
-def test_the_spared_eighth_of_a_dear_kind_still_goes_with_the_first_priority() -> None:
+def test_an_eighth_of_a_costly_kind_keeps_the_first_priority() -> None:
     state = routed.node_state(routed.route(DEAR, priority=5))
     builders.add_members(state, builders.member("n2", "plans"))
     state.costs = _costs(listing=10.0, status=1_000.0)
@@ -128,7 +126,7 @@
     ]
     spared = [terms for terms in sent if terms.importance == TOP]
     assert 0.1 < len(spared) / len(sent) < 0.15
-    assert all(terms.root >= arrivals.SPARED_FROM for terms in spared)
+    assert all(terms.root >= arrivals.PROTECTED_FROM for terms in spared)
 
 
 def test_more_whole_requests_complete_where_the_cheaper_kind_goes_first(
@@ -143,7 +141,7 @@
 
     by_cost = played()
     monkeypatch.setattr(
-        slot_costs, "ordered", lambda costs, kind, importance, root: root
+        slot_costs, "shedding_hash", lambda costs, kind, importance, root: root
     )
     by_hash = played()
     assert by_cost.worth > by_hash.worth + 0.01
--- a/tests/cover/test_routed_attempts.py
+++ b/tests/cover/test_routed_attempts.py
@@ -62,7 +62,7 @@
     assert routed.sent_to(out).node != first.node
 
 
-def test_an_unrepeatable_call_whose_end_is_unclear_is_never_sent_again() -> None:
+def test_an_unrepeatable_call_with_unknown_outcome_is_never_sent_again() -> None:
     state = _state(kind=routes.RouteType.UNREPEATABLE, max_attempts=3)
     first = routed.sent_to(reducer.reduce(state, routed.arrived(1)))
     lost = events.AttemptLost(now=state.now, attempt=first.attempt, reached=True)
@@ -73,7 +73,7 @@
     assert refusal.outcome is messages.Outcome.UNKNOWN
 
 
-def test_a_timeout_at_the_route_is_answered_soon_after_and_as_unclear() -> None:
+def test_a_route_timeout_is_answered_with_504_soon_after_the_deadline() -> None:
     state = _state(kind=routes.RouteType.UNREPEATABLE, timeout_ms=800)
     reducer.reduce(state, routed.arrived(1))
     late = builders.START + 800 + calls.GRACE_MS + 10
@@ -178,13 +178,13 @@
     check_repeats_stay_within_the_bound(nodes, steps, ratio)
 
 
-def test_a_low_ratio_bounds_a_long_row_of_failures() -> None:
+def test_a_low_ratio_bounds_a_long_run_of_failures() -> None:
     # The share that a first attempt earns was fixed, whatever the deployment allowed.
     steps = [(20, number % 4 == 0) for number in range(2_000)]
     check_repeats_stay_within_the_bound(5, steps, 0.05)
 
 
-def test_that_proof_fails_where_each_node_spends_the_whole_slack(
+def test_the_bound_check_fails_where_each_node_spends_the_whole_slack(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(
@@ -195,7 +195,7 @@
         check_repeats_stay_within_the_bound(20, steps)
 
 
-def test_a_node_that_has_just_started_repeats_nothing_on_credit() -> None:
+def test_a_node_that_has_just_started_has_no_retry_budget() -> None:
     state = _state(max_attempts=4)
     state.retry_bound = allowance.Bound(49.0)
     attempt = routed.sent_to(reducer.reduce(state, routed.arrived(1))).attempt
@@ -221,7 +221,7 @@
     assert state.budgets[ids.ServiceName("porting")].held < 0.0
 
 
-def test_the_backend_server_of_a_stopping_routed_node_gets_work_for_a_while() -> None:
+def test_the_backend_server_of_a_stopping_routed_node_gets_calls_for_a_while() -> None:
     # It was shut off for all of the stop and the start, 4 s, though it went on running.
     state = routed.node_state(service="plans")
     out = reducer.reduce(state, events.StopRequested(now=state.now, grace_ms=5_500.0))
@@ -241,7 +241,7 @@
     assert refusal.report.leaving
 
 
-def test_the_home_of_a_stopping_routed_node_still_serves_its_callers() -> None:
+def test_a_stopping_routed_node_still_serves_its_callers() -> None:
     state = _state()
     reducer.reduce(state, events.StopRequested(now=state.now))
     out = reducer.reduce(state, routed.arrived(1))
@@ -251,7 +251,7 @@
     assert builders.only(out, effects.RefuseCall).status == 503
 
 
-def test_a_cancelled_queue_entry_is_never_handed_over() -> None:
+def test_a_cancelled_queued_call_is_never_dispatched() -> None:
     state = routed.node_state(service="plans", slots=1)
     reducer.reduce(state, builders.opened(1))
     reducer.reduce(state, builders.opened(2))
@@ -261,7 +261,7 @@
     assert not builders.all_of(out, effects.DispatchCall)
 
 
-def test_a_caller_that_goes_cancels_its_attempt_at_once() -> None:
+def test_a_caller_that_disconnects_cancels_its_attempt_at_once() -> None:
     state = _state()
     sent = routed.sent_to(reducer.reduce(state, routed.arrived(1)))
     gone = events.CallerGone(now=state.now, call=ids.CallId(1))
@@ -270,7 +270,7 @@
     assert not state.calls and not state.attempts
 
 
-def test_a_cancelled_call_that_may_repeat_is_taken_from_the_backend_server() -> None:
+def test_a_cancelled_repeatable_call_is_cancelled_at_the_backend_server() -> None:
     state = routed.node_state(service="plans", slots=1)
     reducer.reduce(state, builders.opened(1))
     cancel = events.CancelReceived(now=state.now, hosted=ids.HostedId(1))
@@ -279,7 +279,7 @@
     assert state.backend.running == 0
 
 
-def test_an_eighth_of_every_kind_goes_with_the_first_priority() -> None:
+def test_an_eighth_of_every_kind_gets_the_first_priority() -> None:
     # With one of three upstreams left, the first priority took all of it and three in
     # four callers got nothing.
     state = _state(priority=5)
--- a/tests/cover/test_silent_nodes.py
+++ b/tests/cover/test_silent_nodes.py
@@ -70,7 +70,7 @@
     _suspect(state, first.node)
     service = ids.ServiceName("plans")
     assert first.node in upstreams.candidates(state, service)
-    builders.passed(state, upstreams.ANSWERED_LATELY_MS + 20.0)
+    builders.passed(state, upstreams.RECENT_ANSWER_MS + 20.0)
     if first.node in state.membership.suspected:
         assert first.node not in upstreams.candidates(state, service)
 
@@ -82,7 +82,7 @@
     builders.add_members(state, *others)
     _suspect_by_silence(state, first.node)
     routing.on_load_report(state, first.node, "lookup", builders.report())
-    out = builders.passed(state, upstreams.ANSWERED_LATELY_MS - 20.0)
+    out = builders.passed(state, upstreams.RECENT_ANSWER_MS - 20.0)
     assert not builders.all_of(out, effects.CancelAttempt)
     out = builders.passed(state, 20.0 + membership.CHECK_MS + timers.GRID_MS)
     assert builders.only(out, effects.CancelAttempt).attempt == first.attempt
--- a/tests/quality/test_proofs_can_fail.py
+++ b/tests/quality/test_proofs_can_fail.py
@@ -85,8 +85,8 @@
 
 
 def _repeats_not_known(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(replies, "is_repeat", lambda state, hosted, out: False)
-    patch.setattr(hosting, "_settled", lambda state, hosted, entry, out: False)
+    patch.setattr(replies, "handle_repeat", lambda state, hosted, out: False)
+    patch.setattr(hosting, "_handle_known_key", lambda state, hosted, entry, out: False)
     _no_claims(patch)
 
 
@@ -110,7 +110,7 @@
 
 
 def _leaving_takes_work(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(hosting, "_unfit", lambda state, hosted: None)
+    patch.setattr(hosting, "_unavailable_rule", lambda state, hosted: None)
     patch.setattr("gingerturn.internal.core.membership.push", lambda state, out: None)
 
 
@@ -124,9 +124,9 @@
 def _one_is_drawn(patch: pytest.MonkeyPatch) -> None:
     """Choose at random, which is the worst case. Where several are weighed, what an
     entry sent itself keeps it from a frozen one, whether or not that is suspected."""
-    patch.setattr(routing, "ALL_WEIGHED", 0)
-    patch.setattr(routing, "NEAR_DRAWN", 0)
-    patch.setattr(routing, "ANY_DRAWN", 1)
+    patch.setattr(routing, "FULL_COMPARISON_LIMIT", 0)
+    patch.setattr(routing, "SAME_ZONE_SAMPLE", 0)
+    patch.setattr(routing, "ANY_ZONE_SAMPLE", 1)
 
 
 def _no_suspicion(patch: pytest.MonkeyPatch) -> None:
