--- a/src/gingerturn/internal/core/arrivals.py
+++ b/src/gingerturn/internal/core/arrivals.py
@@ -1,4 +1,4 @@
-"""A caller's request as a call: a whole request, or part of one that runs here."""
+"""Conversion of callers' requests to calls: roots, and children of hosted calls."""
 
 import hashlib
 
@@ -13,18 +13,17 @@
 )
 
 PROTECTED_SHARE = 1.0 / 8
-"""On routes this share of every kind of request goes with the first priority, so that
-no kind is starved however little there is: users want each served at least a quarter as
-often as all. An eighth keeps to that until half of everything is refused."""
+"""Share of the requests of every kind that gets the first priority on routes, so that
+no kind is starved under overload."""
 
 PROTECTED_FROM = int((1.0 - PROTECTED_SHARE) * 2**64)
-"""The roots that are spared: those whose hash goes last in the shedding order."""
+"""Least root hash of the protected share, which is last in the order of shedding."""
 
 
 def find_parent(state: states.State, event: events.CallArrived) -> states.Hosted | None:
-    """Return the call that runs here on whose behalf a request comes, if any.
+    """Return the hosted call on whose behalf a request is made, if any.
 
-    A request with an API key is one of its own, whatever its id says.
+    A request with an API key is a root, whatever its request id says.
     """
     if event.key_digest:
         return None
@@ -35,15 +34,15 @@
 def root_call(
     state: states.State, event: events.CallArrived, rule: configuration.KindRule
 ) -> states.Call:
-    """Return a whole request as a call."""
+    """Return the call of a whole request."""
     identity = event.key or f"{event.trace}-{event.span}"
     root = root_hash(identity)
-    spared = state.routed and root >= PROTECTED_FROM
+    protected = state.routed and root >= PROTECTED_FROM
     timeout = float(rule.timeout_ms)
     if event.timeout_ms > 0:
         timeout = min(timeout, event.timeout_ms)
     importance = rule.importance
-    if spared:
+    if protected:
         importance = configuration.IMPORTANCE_CLASSES - 1
     elif state.routed:
         root = slot_costs.shedding_hash(state.costs, rule.name, importance, root)
@@ -75,34 +74,33 @@
     rule: configuration.KindRule,
     parent: states.Hosted,
 ) -> states.Call:
-    """Return a part of a request that runs here as a call."""
-    terms = parent.metadata
-    importance = terms.importance
+    """Return the call of a request that a hosted call makes."""
+    metadata = parent.metadata
+    importance = metadata.importance
     if not state.routed:
         importance = max(importance, rule.importance)
-    # A route's priority ranks its callers' requests among each other. Were it to lift
-    # a call above its request, a full service would tell a level that cuts off every
-    # request of the lower class at once instead of a part of them.
+    # A route's priority orders only its callers' requests. If it raised a child call
+    # above its root, a full service would report a level that sheds every request of
+    # the lower class instead of a part of them.
     if state.routed:
-        # The route says how often a call may be sent, and the budget bounds the sum
-        # over the graph. A share of the parent's tokens, of which there is mostly
-        # one, would leave a call in a tree without any.
+        # The route sets the attempts of each call, and the retry budget bounds their
+        # sum. A share of the parent's few tokens would leave most children none.
         tokens = rule.retry_allowance
     else:
         tokens = allowance.tokens_for_child(parent.tokens)
         parent.tokens -= tokens
-    seen = state.child_kinds.setdefault(terms.kind, {})
+    child_kinds = state.child_kinds.setdefault(metadata.kind, {})
     service = rule.service or event.service
-    seen[(service, rule.name)] = event.now
-    slot_costs.record_child_call(state.costs, terms.kind, service, rule.name)
+    child_kinds[(service, rule.name)] = event.now
+    slot_costs.record_child_call(state.costs, metadata.kind, service, rule.name)
     timeout = float(rule.timeout_ms)
     if event.timeout_ms > 0:
         timeout = min(timeout, event.timeout_ms)
     key = "" if rule.repeatable else event.key
     derived = False
-    if not rule.repeatable and not key and terms.repeatable:
-        # The parent may be sent again and would call once more. A parent that
-        # itself runs at most once needs no claim for what it calls.
+    if not rule.repeatable and not key and metadata.repeatable:
+        # The parent may be sent again and would repeat this call. The calls of a
+        # parent that runs at most once need no claim.
         key = _derived_key(event, parent)
         derived = True
     return states.Call(
@@ -110,21 +108,21 @@
         rule=rule,
         service=rule.service or event.service,
         importance=importance,
-        depth=terms.depth + 1,
-        root=terms.root,
+        depth=metadata.depth + 1,
+        root=metadata.root,
         rank=ranks.rank_of(
-            importance=importance, depth=terms.depth + 1, root=terms.root
+            importance=importance, depth=metadata.depth + 1, root=metadata.root
         ),
         deadline=min(parent.deadline, event.now + timeout),
         tokens=tokens,
-        repeat=terms.repeat,
-        trace=event.trace if state.lineage else terms.trace,
+        repeat=metadata.repeat,
+        trace=event.trace if state.lineage else metadata.trace,
         key=key,
         key_derived=derived,
         replayable=event.replayable,
         arrived_at=event.now,
         parent=parent.id,
-        never_ran=terms.never_ran and (not event.key or event.sending == 1),
+        never_ran=metadata.never_ran and (not event.key or event.sending == 1),
         holder="" if rule.repeatable else event.holder,
         fingerprint=event.fingerprint,
         tried_upstreams=[],
@@ -132,7 +130,7 @@
 
 
 def root_hash(identity: str) -> ids.RootHash:
-    """Return 64 bits that stand for a whole request at every hop."""
+    """Return a 64-bit hash that identifies a whole request at every hop."""
     digest = hashlib.blake2b(identity.encode(), digest_size=8).digest()
     return ids.RootHash(int.from_bytes(digest))
 
@@ -140,12 +138,12 @@
 def _derived_key(event: events.CallArrived, parent: states.Hosted) -> str:
     """Return a key that is the same when the parent is sent again.
 
-    Equal calls of one parent are told apart by their number, in order.
+    Equal calls of one parent are distinguished by their ordinal.
     """
-    what = f"{event.service} {event.method} {event.path} {event.body_digest}"
-    ordinal = parent.children.get(what, 0)
-    parent.children[what] = ordinal + 1
-    identity = f"{parent.metadata.root:016x} {what} {ordinal}"
+    signature = f"{event.service} {event.method} {event.path} {event.body_digest}"
+    ordinal = parent.children.get(signature, 0)
+    parent.children[signature] = ordinal + 1
+    identity = f"{parent.metadata.root:016x} {signature} {ordinal}"
     return hashlib.blake2b(identity.encode(), digest_size=16).hexdigest()
 
 
@@ -160,4 +158,4 @@
     timeout_ms=configuration.DEFAULT_TIMEOUT_MS,
     key=configuration.KeyRule.GENERATED,
 )
-"""Stands in for the kind of a request that has no route."""
+"""Placeholder for the kind of a request without a route."""
--- a/src/gingerturn/internal/core/calls.py
+++ b/src/gingerturn/internal/core/calls.py
@@ -1,4 +1,4 @@
-"""The entry side: calls from callers, their attempts and retries."""
+"""Entry side: calls from callers, and the results of their attempts."""
 
 import heapq
 
@@ -27,23 +27,23 @@
 )
 
 GRACE_MS = 100.0
-"""The home node ends a call at its deadline and knows whether it ran; the entry
-node waits this much longer for that word before it must say ``unknown``."""
+"""Time after the deadline of a call for which the entry node waits for the home node's
+refusal, which says whether the call ran, before it answers that this is unknown."""
 
 CALL_DEADLINE = 0
 HOSTED_DEADLINE = 1
 OVERLOAD_STATUSES = frozenset({429, 503})
 FIRST_FAILURE_STATUS = 500
 GATEWAY_TIMEOUT = 504
-"""What a backend server answers at the deadline; then no time is left to repeat."""
+"""Status of a backend server at the deadline, when no time is left for a retry."""
 
 NO_BACKEND_EJECT_MS = 1_000.0
-"""An upstream that said it has no backend server is passed over for 1 s, by when
-gossip has told the rest."""
+"""Ejection of an upstream without a backend server. It lasts until gossip has spread
+the change."""
 
 LEAVING_EJECT_MS = 10_000.0
-"""One that said it is leaving for longer than it lingers, so that no call is under
-way to it when it closes its connections."""
+"""Ejection of a leaving upstream. It outlasts the upstream's linger time, so that no
+call is in flight when the upstream closes its connections."""
 
 _DEADLINE_RULES = frozenset(
     {decisions.Rule.DEADLINE_PASSED, decisions.Rule.QUEUE_EXPIRED}
@@ -77,7 +77,7 @@
 def on_call_arrived(
     state: states.State, event: events.CallArrived, out: states.Effects
 ) -> None:
-    """Classify a call, tie it to its parent, and send it or refuse it."""
+    """Classify a call, link it to its parent, and send or refuse it."""
     parent = arrivals.find_parent(state, event)
     workspace = ids.WorkspaceName("")
     if state.routed:
@@ -110,7 +110,7 @@
     rule: decisions.Rule,
     out: states.Effects,
 ) -> None:
-    """Refuse a request that the configuration does not allow, or may not."""
+    """Refuse a request that could not be resolved to a route and a workspace."""
     refusals.refuse(
         state,
         arrivals.root_call(state, event, arrivals.UNROUTED),
@@ -124,7 +124,7 @@
 def on_caller_gone(
     state: states.State, event: events.CallerGone, out: states.Effects
 ) -> None:
-    """Cancel the tree below a call that nobody waits for any more."""
+    """Cancel the attempt of a call whose caller has disconnected."""
     call = state.calls.get(event.call)
     if call is None:
         return
@@ -136,7 +136,7 @@
 def on_attempt_answered(
     state: states.State, event: events.AttemptAnswered, out: states.Effects
 ) -> None:
-    """Pass an answer on, or send the call again where that is allowed."""
+    """Relay an answer to the caller, or retry the call where that is allowed."""
     attempt = state.attempts.pop(event.attempt, None)
     if attempt is None:
         return
@@ -174,7 +174,7 @@
 def on_attempt_refused(
     state: states.State, event: events.AttemptRefused, out: states.Effects
 ) -> None:
-    """Take in a home node's refusal: go elsewhere, send again, or give up."""
+    """Handle a home node's refusal: redirect, retry or refuse the call."""
     attempt = state.attempts.pop(event.attempt, None)
     if attempt is None:
         return
@@ -184,8 +184,8 @@
     upstreams.record_answer(state, attempt.node, failed=own_failure)
     if rule in _UNAVAILABLE_RULES:
         upstream = upstreams.upstream_of(state, attempt.node)
-        avoid = LEAVING_EJECT_MS if event.report.leaving else NO_BACKEND_EJECT_MS
-        upstreams.eject(state, upstream, avoid)
+        duration = LEAVING_EJECT_MS if event.report.leaving else NO_BACKEND_EJECT_MS
+        upstreams.eject(state, upstream, duration)
     if call is None:
         return
     call.attempt = None
@@ -197,12 +197,14 @@
         refusals.refuse(state, call, rule, out, remote=event.refusal)
     elif event.refusal.outcome is messages.Outcome.UNKNOWN:
         call.never_ran = False
-        hopeless = rule in _NO_REPEAT_RULES or not sending.may_repeat(call)
-        if hopeless or not sending.retry(state, call, out):
+        final = rule in _NO_REPEAT_RULES or not sending.may_repeat(call)
+        if final or not sending.retry(state, call, out):
             refusals.refuse(state, call, rule, out, remote=event.refusal)
     elif event.refusal.reached_backend:
-        room = event.refusal.had_free_slots
-        if not sending.retry(state, call, out, may_have_run=False, had_free_slots=room):
+        had_free_slots = event.refusal.had_free_slots
+        if not sending.retry(
+            state, call, out, may_have_run=False, had_free_slots=had_free_slots
+        ):
             refusals.refuse(state, call, rule, out, remote=event.refusal)
     elif rule in _NO_REDIRECT_RULES or not sending.redirect(state, call, out):
         refusals.refuse(state, call, rule, out, remote=event.refusal)
@@ -211,14 +213,17 @@
 def on_attempt_lost(
     state: states.State, event: events.AttemptLost, out: states.Effects
 ) -> None:
-    """Take in the loss of a connection; the tokens that went along are spent."""
+    """Handle the loss of an attempt's connection.
+
+    The tokens of an attempt that reached its upstream are spent.
+    """
     attempt = state.attempts.pop(event.attempt, None)
     if attempt is None:
         return
     _release_attempt(state, attempt)
     if upstreams.record_failure(state, attempt.node):
         operator_log.warn(
-            out, "routing", f"Upstream {attempt.node} ejected after losses."
+            out, "routing", f"Upstream {attempt.node} ejected after lost calls."
         )
     call = state.calls.get(attempt.call)
     if call is None:
@@ -240,10 +245,9 @@
 def on_node_unresponsive(
     state: states.State, node: ids.NodeId, out: states.Effects
 ) -> None:
-    """Send repeatable calls that wait at a silent node to another one.
+    """Retry the repeatable calls in flight to an unresponsive node elsewhere.
 
-    Those that may not repeat, or find no other upstream, go on waiting: the node may
-    be slow and answer yet.
+    Other calls keep waiting, since the node may only be slow.
     """
     waiting = [a for a in state.attempts.values() if a.node == node]
     for attempt in waiting:
@@ -261,7 +265,7 @@
 
 
 def refuse_all(state: states.State, out: states.Effects) -> None:
-    """Answer every call that is still held, since the process is about to end."""
+    """Refuse every open call, since the process is about to end."""
     for call in list(state.calls.values()):
         if call.attempt is not None:
             call.never_ran = False
@@ -272,16 +276,16 @@
 def on_level_reported(
     state: states.State, event: events.LevelReported, out: states.Effects
 ) -> None:
-    """Take in an upstream's answer to a question about its level."""
+    """Record an upstream's response to a level request."""
     upstream = upstreams.upstream_of(state, event.node)
-    sent = upstream.sent_since_report
+    sent_since_report = upstream.sent_since_report
     _record_report(state, event.node, event.kind, event.report)
-    # What was sent meanwhile may not be in the load that was told.
-    upstream.sent_since_report = sent
+    # The reported load may not include attempts sent since the request.
+    upstream.sent_since_report = sent_since_report
 
 
 def on_deadline(state: states.State, call_id: ids.CallId, out: states.Effects) -> None:
-    """Give up on a call whose home node said nothing by its deadline."""
+    """Refuse a call whose home node did not respond by its deadline."""
     call = state.calls.get(call_id)
     if call is None:
         return
@@ -296,7 +300,7 @@
 def _should_retry(
     state: states.State, call: states.Call, event: events.AttemptAnswered
 ) -> bool:
-    """Tell whether another upstream may well answer better than this one did."""
+    """Whether another upstream may answer successfully where this one failed."""
     if not call.rule.repeatable:
         return False
     if event.status in OVERLOAD_STATUSES:
@@ -307,10 +311,10 @@
 
 
 def _served_while_stopping(state: states.State) -> bool:
-    """Tell whether a stopping node still serves callers that come to it.
+    """Whether a stopping node still serves callers.
 
-    Where callers are led here by readiness they notice the stop only after some
-    seconds; the node knows the other upstreams and can serve them meanwhile.
+    A load balancer notices the node's readiness with a delay of seconds, in which the
+    node can still send calls to other upstreams.
     """
     return state.routed and state.now < state.stop_after
 
@@ -340,7 +344,7 @@
     tokens: int,
     report: messages.LoadReport,
 ) -> states.Call | None:
-    """Take back an attempt's tokens and its load report."""
+    """Record an attempt's load report, and return its tokens to the call."""
     _release_attempt(state, attempt)
     call = state.calls.get(attempt.call)
     kind = call.rule.name if call is not None else ""
--- a/src/gingerturn/internal/core/hosting.py
+++ b/src/gingerturn/internal/core/hosting.py
@@ -1,4 +1,4 @@
-"""The home side: calls for the backend server beside this node."""
+"""Home side: calls to the local backend server."""
 
 import heapq
 
@@ -23,21 +23,21 @@
 )
 
 UNREACHABLE_PAUSE_MS = 500.0
-"""Pause after the backend server refused a connection; one call then tries."""
+"""Time without dispatches after the backend server refused a connection."""
 
 ORPHAN_MS = 60_000.0
-"""An unrepeatable call whose caller is gone keeps its slot for at most this long past
-its deadline, so that its answer can be kept for the caller's repeat; the backend
-server was handed the deadline too and should be done well before."""
+"""Time after its deadline for which an orphaned unrepeatable call with a key keeps its
+slot, so that its answer can be stored for the caller's repeat. The backend server
+knows the deadline and should end well before."""
 
 UNKEYED_ORPHAN_MS = 500.0
-"""One without a key, which nobody can ask about again, keeps its slot only this long:
-an answer that was lost on its way would otherwise hold the slot for a minute."""
+"""Time after its deadline for which an orphaned call without a key keeps its slot. Its
+answer cannot be requested again, and a lost answer should not hold the slot."""
 
 MIN_CHILD_TIME_SHARE = 0.5
-"""A call deeper in a tree that finds a free slot is begun if half of the usual time is
-left: refusing it loses for certain what its parents have spent, and trying costs a slot
-that nobody waits for."""
+"""Share of the usual service time that must be left for a child call to start in a free
+slot. Refusing it certainly wastes the work of its parents, and trying it costs only an
+idle slot."""
 
 _SLOTLESS_STATES = frozenset({states.HostedState.WAITING, states.HostedState.CHECKING})
 
@@ -45,31 +45,31 @@
 def on_open(
     state: states.State, event: events.OpenReceived, out: states.Effects
 ) -> None:
-    """Admit, queue or refuse a call."""
-    terms = event.metadata
+    """Start, queue or refuse a call."""
+    metadata = event.metadata
     hosted = states.Hosted(
         id=event.hosted,
         sender=event.sender,
-        metadata=terms,
-        rank=_rank(state, terms),
-        deadline=event.now + terms.deadline_ms,
-        tokens=terms.tokens,
+        metadata=metadata,
+        rank=_rank(state, metadata),
+        deadline=event.now + metadata.deadline_ms,
+        tokens=metadata.tokens,
         arrived_at=event.now,
         children={},
     )
     state.hosted[hosted.id] = hosted
-    if terms.ticket and terms.ticket != keys.own_name(state):
-        # A ticket of an earlier incarnation, which may have run it.
+    if metadata.ticket and metadata.ticket != keys.own_name(state):
+        # The ticket names an earlier incarnation, which may have run the call.
         replies.refuse(
             state, hosted, decisions.Rule.OUTCOME_UNKNOWN, out, dispatched=True
         )
         return
-    if terms.key and replies.handle_repeat(state, hosted, out):
+    if metadata.key and replies.handle_repeat(state, hosted, out):
         return
     rule = _unavailable_rule(state, hosted)
-    # Mostly nothing is kept out, and then no call pays for the question.
-    kept_out = state.quarantine.quarantined
-    if rule is None and kept_out and not quarantine.admits(state, hosted):
+    # The table is usually empty, which spares the check.
+    quarantined = state.quarantine.quarantined
+    if rule is None and quarantined and not quarantine.admits(state, hosted):
         rule = decisions.Rule.QUARANTINED
     if rule is not None:
         replies.refuse(state, hosted, rule, out)
@@ -84,17 +84,17 @@
     _enqueue(state, hosted, out)
 
 
-def _rank(state: states.State, terms: messages.CallMetadata) -> ids.Rank:
-    """Return the rank of a call in the queue here.
+def _rank(state: states.State, metadata: messages.CallMetadata) -> ids.Rank:
+    """Return the rank of a call in the local queue.
 
-    On routes a root that calls nobody ranks with the deeper calls of its class: its
-    slot brings a whole request, theirs a part of one. Behind all of them it waited
-    until its target had passed wherever the service that trees end at was full.
+    On routes, a root whose kind makes no calls ranks with the deeper calls of its
+    class, since its slot completes a whole request. Ranked behind them, it would not
+    be served in time by a full service at the bottom of trees.
     """
     rank = ranks.rank_of(
-        importance=terms.importance, depth=terms.depth, root=terms.root
+        importance=metadata.importance, depth=metadata.depth, root=metadata.root
     )
-    if state.routed and not state.child_kinds.get(terms.kind):
+    if state.routed and not state.child_kinds.get(metadata.kind):
         return ranks.deep_rank(rank)
     return rank
 
@@ -102,8 +102,10 @@
 def on_level_requested(
     state: states.State, event: events.LevelRequested, out: states.Effects
 ) -> None:
-    """Tell a peer what is shed at present; what is known only from long ago is
-    asked for in turn, for the next question."""
+    """Report the current levels to a peer.
+
+    Stale levels of child services are requested for the next report.
+    """
     admission.request_child_levels(state, event.kind, out)
     report = admission.load_report(state, event.kind)
     out.append(effects.ReportLevel(request=event.request, report=report))
@@ -112,7 +114,7 @@
 def on_cancel(
     state: states.State, event: events.CancelReceived, out: states.Effects
 ) -> None:
-    """Cancel a call whose entry node gave up on it."""
+    """Cancel a call on behalf of its entry node."""
     hosted = state.hosted.get(event.hosted)
     if hosted is None or hosted.orphaned:
         return
@@ -148,8 +150,8 @@
         return
     state.backend.answered_at = event.now
     if event.status in calls.OVERLOAD_STATUSES:
-        # A backend server passes on that a service below it shed. Taken for its
-        # own shedding, that cut the limits of every service above the full one.
+        # A backend server may relay the refusal of a service below it, which must
+        # not reduce the limit here.
         if not hosted.child_failed:
             admission.record_backend_refusal(state)
     else:
@@ -173,7 +175,7 @@
 def on_backend_finished(
     state: states.State, event: events.BackendFinished, out: states.Effects
 ) -> None:
-    """Free the slot of a long answer."""
+    """Release the slot of a streamed answer."""
     hosted = state.hosted.get(event.hosted)
     if hosted is None or hosted.state is not states.HostedState.STREAMING:
         return
@@ -184,7 +186,7 @@
 def on_backend_failed(
     state: states.State, event: events.BackendFailed, out: states.Effects
 ) -> None:
-    """Take in a failed exchange with the backend server."""
+    """Handle a failed exchange with the backend server."""
     hosted = state.hosted.get(event.hosted)
     if hosted is None:
         return
@@ -209,10 +211,10 @@
 def _on_connection_broken(
     state: states.State, hosted: states.Hosted, out: states.Effects
 ) -> None:
-    """Take in that the connection under a call broke.
+    """Handle the loss of the connection of a dispatched call.
 
-    What its entry node is told waits for the answer to whether the backend server
-    ended: a call that ended it should not be sent to the next one as any other is.
+    The refusal is sent after a check whether the backend server crashed, since a call
+    that may have crashed it must not be retried like others.
     """
     backend_crashes.record_broken_call(state, hosted, out)
     if hosted.metadata.key:
@@ -227,21 +229,21 @@
 def on_backend_checked(
     state: states.State, event: events.BackendChecked, out: states.Effects
 ) -> bool:
-    """Tell the entry nodes of broken calls what became of the backend server.
+    """Refuse the calls that waited for the check of the backend server.
 
-    :return: whether it ended by itself.
+    :return: whether the backend server crashed.
     """
-    ended = backend_crashes.on_checked(state, refused=event.refused, out=out)
+    crashed = backend_crashes.on_checked(state, refused=event.refused, out=out)
     for hosted in list(state.hosted.values()):
         if hosted.state is not states.HostedState.CHECKING:
             continue
         rule = decisions.Rule.OUTCOME_UNKNOWN
         if quarantine.entry_of(state, hosted.metadata.fingerprint):
             rule = decisions.Rule.QUARANTINED
-        elif ended:
+        elif crashed:
             rule = decisions.Rule.BACKEND_ENDED
         replies.refuse(state, hosted, rule, out, dispatched=True)
-    return ended
+    return crashed
 
 
 def _record_times(
@@ -254,13 +256,13 @@
 def _on_not_executed(
     state: states.State, hosted: states.Hosted, status: int, out: states.Effects
 ) -> None:
-    """Take in that the backend server said that it did not run a call."""
-    room = admission.has_room(state)
+    """Handle a backend server's answer that it did not run a call."""
+    had_free_slots = admission.has_room(state)
     _release_slot(state, hosted, out, start_next=False)
     if hosted.metadata.key:
         replies.fail_key(state, hosted, out, dispatched=False)
     if status == messages.MISDIRECTED:
-        # Another instance has the address now; the announced one is gone.
+        # The address belongs to another instance; the announced one has departed.
         _mark_backend_absent(state, out)
         replies.refuse(state, hosted, decisions.Rule.NO_BACKEND, out)
         return
@@ -268,7 +270,12 @@
     if not hosted.orphaned:
         rule = decisions.Rule.BACKEND_REFUSED
         replies.refuse(
-            state, hosted, rule, out, reached_backend=True, had_free_slots=room
+            state,
+            hosted,
+            rule,
+            out,
+            reached_backend=True,
+            had_free_slots=had_free_slots,
         )
     start_queued(state, out)
 
@@ -276,7 +283,7 @@
 def _mark_backend_absent(state: states.State, out: states.Effects) -> None:
     backend = state.backend
     if backend.present:
-        text = f"{backend.service} {backend.instance} no longer has its address."
+        text = f"Backend server {backend.service} {backend.instance} lost its address."
         operator_log.warn(out, "backend", text)
     backend.present = False
     instances.record_departure(state, backend.instance)
@@ -284,10 +291,10 @@
 
 
 def fail_running(state: states.State, out: states.Effects) -> None:
-    """End the calls that the backend server had when it started anew.
+    """Fail the calls that were running when the backend server restarted.
 
-    It knows nothing of them. They may have run, so that none is said not to have, and
-    the entry node sends only repeatable ones again.
+    They may have run, so that their outcome is unknown and entry nodes retry only
+    repeatable ones.
     """
     rule = decisions.Rule.OUTCOME_UNKNOWN
     for hosted in list(state.hosted.values()):
@@ -306,7 +313,7 @@
 
 
 def drop_overdue(state: states.State, out: states.Effects) -> None:
-    """Refuse queued calls that waited for too long."""
+    """Refuse the queued calls that waited too long."""
     for hosted_id in admission.overdue(state):
         replies.refuse(
             state, state.hosted[hosted_id], decisions.Rule.QUEUE_EXPIRED, out
@@ -316,7 +323,7 @@
 def on_deadline(
     state: states.State, hosted_id: ids.HostedId, out: states.Effects
 ) -> None:
-    """End a call at its deadline; the entry node hears at once whether it ran."""
+    """End a call at its deadline, and report to its entry node whether it ran."""
     hosted = state.hosted.get(hosted_id)
     if hosted is None:
         return
@@ -353,15 +360,15 @@
             replies.fail_key(state, hosted, out, dispatched=True)
         _release_slot(state, hosted, out)
         return
-    # An unrepeatable call that has begun is not cancelled: its answer is kept
-    # for the caller's repeat.
+    # A running unrepeatable call is not cancelled, and its answer is stored for
+    # the caller's repeat.
     hosted.orphaned = True
-    again = max(state.now, hosted.deadline + keep_ms)
-    heapq.heappush(state.deadlines, (again, calls.HOSTED_DEADLINE, hosted.id))
+    next_deadline = max(state.now, hosted.deadline + keep_ms)
+    heapq.heappush(state.deadlines, (next_deadline, calls.HOSTED_DEADLINE, hosted.id))
 
 
 def start(state: states.State, hosted: states.Hosted, out: states.Effects) -> None:
-    """Occupy a slot; claim the key first where there is one."""
+    """Take a slot, and dispatch a call or claim its key first."""
     admission.take_slot(state)
     if not hosted.metadata.key:
         dispatch(state, hosted, out)
@@ -384,9 +391,9 @@
     entry: states.KeyEntry,
     out: states.Effects,
 ) -> bool:
-    """Deal with a call whose key was settled while it was queued.
+    """Handle a call whose key became known here while it was queued.
 
-    :return: whether nothing is left to be done for it.
+    :return: whether the call is handled.
     """
     if entry.phase is states.KeyPhase.OURS_IDLE:
         entry.hosted = hosted.id
@@ -402,7 +409,7 @@
 
 
 def dispatch(state: states.State, hosted: states.Hosted, out: states.Effects) -> None:
-    """Hand a call that occupies a slot to the backend server."""
+    """Dispatch a call that holds a slot to the backend server."""
     backend = state.backend
     hosted.state = states.HostedState.RUNNING
     hosted.started_at = state.now
@@ -432,7 +439,7 @@
 
 
 def start_queued(state: states.State, out: states.Effects) -> None:
-    """Start queued calls while there are slots."""
+    """Start queued calls while there are free slots."""
     while admission.has_slot(state):
         hosted_id = admission.dequeue(state)
         if hosted_id is None:
@@ -456,7 +463,7 @@
     *,
     holder: str = "",
 ) -> None:
-    """Refuse a call that holds a slot and was not handed over."""
+    """Refuse a call that holds a slot and was not dispatched."""
     admission.free_slot(state)
     if hosted.orphaned:
         replies.forget(state, hosted)
@@ -481,7 +488,10 @@
 def _worth_starting(
     state: states.State, hosted: states.Hosted, out: states.Effects
 ) -> bool:
-    """Refuse what could not finish in time, or whose children would be shed."""
+    """Refuse a call that cannot finish in time, or whose children would be shed.
+
+    :return: whether the call may start or be queued.
+    """
     kind = hosted.metadata.kind
     needed = admission.service_time(state, kind)
     wait = admission.expected_wait(state, kind, hosted.rank)
@@ -495,8 +505,8 @@
     below = admission.tree_level(state, kind)
     if below > ranks.LOWEST:
         admission.request_child_levels(state, kind, out)
-    spared = state.routed and hosted.metadata.depth > 0
-    if not spared and ranks.deep_rank(hosted.rank) < below:
+    exempt = state.routed and hosted.metadata.depth > 0
+    if not exempt and ranks.deep_rank(hosted.rank) < below:
         figures = (float(below), float(ranks.deep_rank(hosted.rank)))
         replies.refuse(state, hosted, decisions.Rule.TREE_LEVEL, out, figures=figures)
         return False
--- a/src/gingerturn/internal/core/readiness.py
+++ b/src/gingerturn/internal/core/readiness.py
@@ -1,10 +1,10 @@
-"""Whether a node can serve callers: it has a configuration and knows members."""
+"""Readiness of a node to serve callers."""
 
 from gingerturn.internal.core import state as states
 
 
 def is_ready(state: states.State) -> bool:
-    """Tell whether new callers may be sent to this node."""
+    """Whether new callers may be sent to this node."""
     if state.stopping:
         return False
     if state.routed and state.routes is None:
--- a/src/gingerturn/internal/core/replies.py
+++ b/src/gingerturn/internal/core/replies.py
@@ -1,5 +1,4 @@
-"""What the entry node of a hosted call is told: an answer, a refusal, or what became of
-the first call of its key."""
+"""Replies to the entry nodes of hosted calls: answers, refusals and stored answers."""
 
 import heapq
 
@@ -30,13 +29,12 @@
     reached_backend: bool = False,
     had_free_slots: bool = False,
 ) -> None:
-    """Refuse a call towards its entry node.
+    """Send a refusal of a call to its entry node.
 
-    :param handed: the call may have been run by the backend server.
-    :param ended: nothing of it is left here; one that the backend server still works
-        on keeps its slot.
-    :param arrived: the backend server turned the call away.
-    :param room: it did so with slots free.
+    :param dispatched: the backend server may have run the call.
+    :param finished: the call is forgotten; one that is still running keeps its slot.
+    :param reached_backend: the backend server rejected the call.
+    :param had_free_slots: the call was rejected though slots were free.
     """
     backend = state.backend
     if rule is decisions.Rule.QUARANTINED:
@@ -86,7 +84,7 @@
     dispatched: bool = False,
     outcome: messages.Outcome | None = None,
 ) -> None:
-    """Refuse a repeat that waited for the first call of its key."""
+    """Refuse a repeat that waits for the first call of its key."""
     hosted = state.hosted.get(hosted_id)
     if hosted is None or hosted.state is not states.HostedState.WAITING:
         return
@@ -98,7 +96,7 @@
 def refuse_queue(
     state: states.State, rule: decisions.Rule, out: states.Effects
 ) -> None:
-    """Refuse every queued call; other upstreams can still take them."""
+    """Refuse every queued call; other upstreams may still accept them."""
     while (hosted_id := admission.dequeue(state)) is not None:
         refuse(state, state.hosted[hosted_id], rule, out)
 
@@ -106,11 +104,14 @@
 def send_answer(
     state: states.State, hosted: states.Hosted, out: states.Effects, *, whole: bool
 ) -> None:
-    """Send the backend server's answer, and keep a whole one for repeats of its key."""
-    keep = hosted.metadata.key if whole else ""
+    """Send the backend server's answer, and store a complete one under its key.
+
+    :param whole: the answer is complete, not streamed.
+    """
+    store_key = hosted.metadata.key if whole else ""
     if hosted.orphaned:
-        if keep:
-            out.append(effects.StoreAnswer(hosted=hosted.id, key=keep))
+        if store_key:
+            out.append(effects.StoreAnswer(hosted=hosted.id, key=store_key))
         return
     out.append(
         effects.SendAnswer(
@@ -118,7 +119,7 @@
             tokens=hosted.tokens,
             report=admission.load_report(state, hosted.metadata.kind),
             decision=hosted.decision,
-            store_key=keep,
+            store_key=store_key,
             child_failed=hosted.child_failed,
         )
     )
@@ -131,7 +132,7 @@
     out: states.Effects,
     figures: tuple[float, ...],
 ) -> str:
-    """Keep a decision, let it be logged, and return its id."""
+    """Record and log a decision, and return its id."""
     decision = state.decisions.record(
         rule,
         now=state.now,
@@ -158,7 +159,7 @@
 
 
 def forget(state: states.State, hosted: states.Hosted) -> None:
-    """Forget a call that was answered or refused."""
+    """Remove a call that was answered or refused."""
     state.hosted.pop(hosted.id, None)
     state.hosted_by_span.pop(hosted.span, None)
 
@@ -166,9 +167,9 @@
 def handle_repeat(
     state: states.State, hosted: states.Hosted, out: states.Effects
 ) -> bool:
-    """Answer, or let wait, a call whose key is known here.
+    """Answer a call whose key is known here, or let it wait for the first one.
 
-    :return: ``False`` when the call is to go on to admission.
+    :return: ``False`` when the call has to pass admission.
     """
     entry = state.keys.get(hosted.metadata.key)
     if entry is None or entry.phase is states.KeyPhase.OURS_IDLE:
@@ -223,7 +224,11 @@
     answer_stored: bool,
     outcome_known: bool,
 ) -> None:
-    """Enter the last phase of a key and tell the repeats that waited."""
+    """Mark a key as done, and answer the repeats that wait for it.
+
+    :param answer_stored: the answer is stored for repeats.
+    :param outcome_known: the call certainly ran.
+    """
     entry = state.keys[hosted.metadata.key]
     keys.mark_done(entry, kept=answer_stored, certain=outcome_known)
     waiters = list(entry.waiters)
@@ -237,9 +242,9 @@
 def fail_key(
     state: states.State, hosted: states.Hosted, out: states.Effects, *, dispatched: bool
 ) -> None:
-    """Take in that the call that holds a key failed.
+    """Handle the failure of the call that holds a key.
 
-    :param handed: the backend server may have run it.
+    :param dispatched: the backend server may have run the call.
     """
     if dispatched:
         finish_key(state, hosted, out, answer_stored=False, outcome_known=False)
--- a/src/gingerturn/internal/core/routing.py
+++ b/src/gingerturn/internal/core/routing.py
@@ -1,4 +1,4 @@
-"""Choice of an upstream from what answers told."""
+"""Choice of an upstream by reported levels and expected cost."""
 
 from gingerturn.internal import ids
 from gingerturn.internal.core import (
@@ -12,24 +12,22 @@
 )
 
 LEVEL_REQUEST_INTERVAL_MS = 150.0
-"""A level that keeps calls back is asked for anew after this time. Sending a call
-to find out costs the work that is lost when it is shed further down: with fading
-alone, a kind that was shed whole sent a burst of hopeless calls every 3 s."""
+"""Age from which a level that refuses calls is requested again. Probing with a real
+call instead would waste the work that is lost when the call is shed further down."""
 
 LEVEL_REQUEST_FANOUT = 4
-"""Upstreams asked at once, drawn anew each time, so that a large service costs no
-more questions than a small one."""
+"""Upstreams of a service that are queried per level request, sampled each time, so
+that the number of queries does not grow with the service."""
 
 FULL_COMPARISON_LIMIT = 8
-"""Up to so many upstreams are all weighed against each other, so that a near one is
-found whenever there is one. Of more, some are drawn: weighing hundreds costs time, and
-all entries would choose the same one by the same old reports."""
+"""Up to this many upstreams are all compared, so that one in the own zone is found
+whenever there is one. Larger services are sampled: comparing hundreds takes time, and
+all entry nodes would choose the same upstream by the same old reports."""
 
 SAME_ZONE_SAMPLE = 3
 ANY_ZONE_SAMPLE = 2
-"""Drawn of many: three in the own zone, and two anywhere, by which a zone whose
-upstreams are all busy spills. Of two drawn anywhere, in three zones, both are in other
-zones four times in nine."""
+"""Sample sizes for a large service: upstreams of the own zone, and of any zone. The
+latter let calls leave a zone whose upstreams are all busy."""
 
 
 def on_load_report(
@@ -38,11 +36,11 @@
     kind: str,
     report: messages.LoadReport,
 ) -> None:
-    """Take in the load report of an answer."""
+    """Record the load report of an answer."""
     state.refused_ranks.clear()
     upstream = upstreams.upstream_of(state, node)
     if node in state.membership.suspected:
-        # It may not count as silent any more.
+        # The report may end its unresponsiveness, so pools are rebuilt.
         state.membership.version += 1
     upstream.load_reported_at = state.now
     upstream.own_level = states.ReportedLevel(level=report.level, reported_at=state.now)
@@ -61,25 +59,28 @@
     kind: str,
     rank: ids.Rank,
 ) -> ids.NodeId | None:
-    """Choose the least busy of a few upstreams that take it.
+    """Choose the cheapest of the upstreams that are expected to accept a call.
 
     :param nodes: upstreams of one service.
-    :return: ``None`` when every one sheds calls of this rank.
+    :return: ``None`` when all of them shed calls of this rank.
     """
     if not nodes:
         return None
     service = state.membership.members[nodes[0]].service
     if not _children_accept(state, service, kind, rank):
         return None
-    many = len(nodes) > FULL_COMPARISON_LIMIT
-    few = _sample_candidates(state, service, nodes) if many else nodes
-    taking = _accepting(state, service, few, rank)
-    if not taking and many:
-        taking = _find_accepting(state, service, nodes, rank)
-    if not taking:
+    is_large = len(nodes) > FULL_COMPARISON_LIMIT
+    sampled = _sample_candidates(state, service, nodes) if is_large else nodes
+    accepting = _accepting(state, service, sampled, rank)
+    if not accepting and is_large:
+        accepting = _find_accepting(state, service, nodes, rank)
+    if not accepting:
         return None
-    apart = upstream_costs.zone_penalty(state, kind)
-    return min(taking, key=lambda node: upstream_costs.cost_of(state, node, apart))
+    other_zone_penalty = upstream_costs.zone_penalty(state, kind)
+    return min(
+        accepting,
+        key=lambda node: upstream_costs.cost_of(state, node, other_zone_penalty),
+    )
 
 
 def _find_accepting(
@@ -88,10 +89,9 @@
     nodes: list[ids.NodeId],
     rank: ids.Rank,
 ) -> list[ids.NodeId]:
-    """Search many upstreams for one that takes a call, where one is known to.
+    """Search a large service for an upstream that is expected to accept a call.
 
-    Most refusals end with the comparison: all are searched only for the few calls that
-    rank between the least level and the others.
+    The comparison with the lowest level spares the search for most refused calls.
     """
     if _own_rank(state, rank) < levels.lowest(state, service):
         return []
@@ -106,9 +106,9 @@
 def _children_accept(
     state: states.State, service: ids.ServiceName, kind: str, rank: ids.Rank
 ) -> bool:
-    """Tell whether the services below are expected to take what a call goes on to.
+    """Whether the services below are expected to accept the child calls of a call.
 
-    That is the same whichever upstream is asked.
+    The result does not depend on the upstream.
     """
     if state.routed and ranks.is_deep(rank):
         return True
@@ -121,46 +121,50 @@
 def _accepting(
     state: states.State,
     service: ids.ServiceName,
-    few: list[ids.NodeId],
+    nodes: list[ids.NodeId],
     rank: ids.Rank,
 ) -> list[ids.NodeId]:
-    """Return the upstreams that are expected to take a call of this rank themselves.
+    """Return the upstreams whose own level is expected to accept a call of this rank.
 
-    One that told nothing of late is judged by what the others did.
+    An upstream without a fresh report is judged by the level of its service.
     """
     if state.routed and ranks.is_deep(rank):
-        # Only roots are refused by a level: the work above a deeper call is spent, and
-        # its home sheds it last if it must.
-        return few
+        # Levels refuse only roots: refusing a deeper call wastes the work done above
+        # it, and its home node sheds deeper calls last.
+        return nodes
     rank = _own_rank(state, rank)
-    others = levels.own_level(state, service).level
+    fallback_level = levels.own_level(state, service).level
     fresh_from = state.now - levels.FRESH_MS
-    taking = []
-    for node in few:
+    accepting = []
+    for node in nodes:
         upstream = state.upstreams.get(node)
-        known = upstream is not None and upstream.own_level.reported_at >= fresh_from
-        level = upstream.own_level.level if upstream is not None and known else others
+        is_fresh = upstream is not None and upstream.own_level.reported_at >= fresh_from
+        level = (
+            upstream.own_level.level
+            if upstream is not None and is_fresh
+            else fallback_level
+        )
         if rank >= level:
-            taking.append(node)
-    return taking
+            accepting.append(node)
+    return accepting
 
 
 def _own_rank(state: states.State, rank: ids.Rank) -> ids.Rank:
-    """Return the rank of a call as upstreams compare it with their own levels."""
+    """Return the rank that upstreams compare with their own levels."""
     return ranks.deep_rank(rank) if state.routed else rank
 
 
 def _sample_candidates(
     state: states.State, service: ids.ServiceName, nodes: list[ids.NodeId]
 ) -> list[ids.NodeId]:
-    """Draw some of many upstreams, near ones first."""
+    """Sample a large service: upstreams of the own zone, then of any zone."""
     pool = upstreams.pool_of(state, service)
     if nodes is pool.nodes:
-        near = pool.same_zone
+        same_zone = pool.same_zone
     else:
         members = state.membership.members
-        near = [node for node in nodes if members[node].zone == state.zone]
-    return _sample(state, near, SAME_ZONE_SAMPLE) + _sample(
+        same_zone = [node for node in nodes if members[node].zone == state.zone]
+    return _sample(state, same_zone, SAME_ZONE_SAMPLE) + _sample(
         state, nodes, ANY_ZONE_SAMPLE
     )
 
@@ -168,9 +172,9 @@
 def _sample(
     state: states.State, nodes: list[ids.NodeId], count: int
 ) -> list[ids.NodeId]:
-    """Draw a few at equal distances from a random one on.
+    """Sample nodes at equal distances from a random start.
 
-    With 34 upstreams random.sample() took 3.7 us, longer than the rest of a choice.
+    This is much faster than ``random.sample()``, which would dominate the choice.
     """
     if len(nodes) <= count:
         return nodes
@@ -182,8 +186,8 @@
 def ticket_holder(state: states.State, service: ids.ServiceName) -> str:
     """Return the node for which to mint a ticket, as ``node/incarnation``.
 
-    The less busy of two, as for a call; an empty string when nobody offers the
-    service.
+    The node is chosen as for a call; the result is empty when no upstream of the
+    service is available.
     """
     nodes = upstreams.candidates(state, service)
     node = choose(state, nodes, "", ranks.HIGHEST)
@@ -193,17 +197,20 @@
 
 
 def service_level(state: states.State, service: ids.ServiceName, kind: str) -> ids.Rank:
-    """Return the rank from which a service is expected to take calls of a kind, the
-    levels of the services below it included."""
+    """Return the rank from which a service is expected to accept calls of a kind,
+    including the levels of the services below it."""
     return levels.expected_level(state, service, kind).level
 
 
 def request_levels(
     state: states.State, service: ids.ServiceName, kind: str, out: states.Effects
 ) -> None:
-    """Ask some upstreams of a service whose level is in force but not fresh."""
-    held = levels.expected_level(state, service, kind)
-    if held.level <= 0 or state.now - held.reported_at < LEVEL_REQUEST_INTERVAL_MS:
+    """Request the level of a service that refuses calls by an old level."""
+    expected = levels.expected_level(state, service, kind)
+    if (
+        expected.level <= 0
+        or state.now - expected.reported_at < LEVEL_REQUEST_INTERVAL_MS
+    ):
         return
     known = levels.service_level_of(state, service, kind)
     if state.now - known.requested_at < LEVEL_REQUEST_INTERVAL_MS:
--- a/src/gingerturn/internal/core/sending.py
+++ b/src/gingerturn/internal/core/sending.py
@@ -1,4 +1,4 @@
-"""Where a call is sent first, and whether it is sent again."""
+"""First attempts, redirects and retries of calls."""
 
 from gingerturn.internal import ids
 from gingerturn.internal.core import (
@@ -20,31 +20,30 @@
 )
 
 MAX_REDIRECTS = 2
-"""Times that a call which was certainly not run is offered to another upstream
-without a token. Nothing ran, so this is no retry in the sense of the allowance;
-two are enough to pass a full and a leaving upstream."""
+"""Redirects of a call to another upstream that cost no token, since the call certainly
+did not run. Two pass a full and a leaving upstream."""
 
 MAX_REJECTED_ATTEMPTS = 8
-"""Attempts of one call that upstreams turn away though they have room. Where they turn
-away 55 % of what comes, 8 attempts reach 99 % of it; the budget bounds the sum."""
+"""Attempts up to which a call may be sent back, without a token, to an upstream that
+rejected it with slots free. The retry budget bounds the sum over all calls."""
 
 QUARANTINE_RETRY_JITTER_MS = 1_000.0
-"""Callers of a request that is kept out come back one to two seconds after it may be
-tried, so that they do not come together."""
+"""Callers of a quarantined request are asked to return this long, or up to twice as
+long, after its next trial is due, so that they do not return together."""
 
 REFUSED_RANK_TTL_MS = 10.0
-"""A rank that no upstream took is not tried again for this long: under a flood that
-saves weighing every upstream for each call."""
+"""Time for which a rank that all upstreams shed is refused without a new comparison of
+the upstreams, which saves work under overload."""
 
 
 def begin(state: states.State, call: states.Call, out: states.Effects) -> None:
-    """Let a call begin."""
+    """Credit the retry budget for a new call, and send the call."""
     earn_retry_budget(state, call)
     send_first(state, call, out)
 
 
 def send_first(state: states.State, call: states.Call, out: states.Effects) -> None:
-    """Send a call for the first time, let it wait for an upstream, or refuse it."""
+    """Send the first attempt of a call, let it wait for an upstream, or refuse it."""
     if call.holder:
         _send_to_holder(state, call, out)
         return
@@ -56,17 +55,17 @@
         if not startup_waits.enqueue(state, call):
             refusals.refuse(state, call, decisions.Rule.NO_UPSTREAM, out)
         return
-    refused = (call.service, call.rule.name, call.rank & ranks.DEEP_BIT)
+    refusal_key = (call.service, call.rule.name, call.rank & ranks.DEEP_BIT)
     if state.now - state.refused_since > REFUSED_RANK_TTL_MS:
         state.refused_ranks.clear()
-    if not call.key and call.rank <= state.refused_ranks.get(refused, -1):
+    if not call.key and call.rank <= state.refused_ranks.get(refusal_key, -1):
         _refuse_by_level(state, call, out)
         return
     node = _first_upstream(state, call, nodes)
     if node is None:
         if not state.refused_ranks:
             state.refused_since = state.now
-        state.refused_ranks[refused] = call.rank
+        state.refused_ranks[refusal_key] = call.rank
         routing.request_levels(state, call.service, call.rule.name, out)
         _refuse_by_level(state, call, out)
         return
@@ -76,7 +75,7 @@
 def _send_trial_or_refuse(
     state: states.State, call: states.Call, out: states.Effects
 ) -> None:
-    """Refuse a call that is kept out, or send it to the home that is to try it."""
+    """Send a quarantined call to the home node of its trial, or refuse it."""
     node = quarantine.trial_node(state, call)
     if node is not None:
         _send(state, call, node, out)
@@ -87,7 +86,7 @@
 def _refuse_quarantined(
     state: states.State, call: states.Call, out: states.Effects
 ) -> None:
-    """Refuse a call that is kept out; its callers hear when it may be tried again."""
+    """Refuse a quarantined call, with the time until its next trial."""
     wait = quarantine.trial_due_in(state, call.fingerprint)
     refusals.refuse(
         state,
@@ -100,23 +99,23 @@
 
 
 def send_waiting(state: states.State, out: states.Effects) -> None:
-    """Send the calls that waited for an upstream of their service, or give them up."""
+    """Send or refuse the calls that waited for an upstream of their service."""
     services = state.membership.by_service
     placeable = {ids.ServiceName(name) for name, nodes in services.items() if nodes}
-    ready, over = startup_waits.take_due(state, placeable)
+    ready, expired = startup_waits.take_due(state, placeable)
     for call in ready:
         send_first(state, call, out)
-    for call in over:
+    for call in expired:
         refusals.refuse(state, call, decisions.Rule.NO_UPSTREAM, out)
 
 
 def may_repeat(call: states.Call) -> bool:
-    """Tell whether a call may be sent again though it may have run."""
+    """Whether a call may be sent again though it may have run."""
     return call.rule.repeatable and call.replayable
 
 
 def can_retry_elsewhere(state: states.State, call: states.Call) -> bool:
-    """Tell whether a call that may have run can be sent to another upstream now."""
+    """Whether a call that may have run can be sent to another upstream now."""
     if not may_repeat(call) or quarantine.entry_of(state, call.fingerprint):
         return False
     budget = _budget(state, call.service)
@@ -129,7 +128,7 @@
 
 
 def redirect(state: states.State, call: states.Call, out: states.Effects) -> bool:
-    """Offer a call that was certainly not run to another upstream."""
+    """Send a call that certainly did not run to another upstream."""
     if call.redirects >= MAX_REDIRECTS or not call.replayable or call.holder:
         return False
     if state.now >= call.deadline or quarantine.entry_of(state, call.fingerprint):
@@ -149,15 +148,15 @@
     refusal: messages.Refusal,
     out: states.Effects,
 ) -> None:
-    """Follow a key's claim to the node that holds it."""
+    """Send a call to the node that holds the claim of its key."""
     call.never_ran = False
     member = _holding_member(state, refusal.holder)
-    known = (
+    reachable = (
         member is not None
         and member.node not in call.tried_upstreams
         and call.replayable
     )
-    if member is None or not known or call.redirects >= MAX_REDIRECTS:
+    if member is None or not reachable or call.redirects >= MAX_REDIRECTS:
         refusals.refuse(state, call, decisions.Rule.OUTCOME_UNKNOWN, out)
         return
     _send_redirected(state, call, member.node, out)
@@ -171,12 +170,12 @@
     may_have_run: bool = True,
     had_free_slots: bool = False,
 ) -> bool:
-    """Send a call again, for a token and out of the budget.
+    """Send a call again, at the cost of a token and of the retry budget.
 
-    :param ran: the last attempt may have run, so that only a repeatable call goes
-        again.
-    :param room: the upstream turned it away though it had room; then it may take it
-        the next time.
+    :param may_have_run: the last attempt may have run, so that only a repeatable call
+        is sent again.
+    :param had_free_slots: the upstream rejected the call though it had free slots, so
+        that the call may be sent back to it without a token.
     """
     budget = _budget(state, call.service)
     figures = (float(call.tokens), budget.held, float(call.attempts))
@@ -187,18 +186,18 @@
         found = quarantine.decision_figures(state, call.fingerprint)
         refusals.decide(state, call, decisions.Rule.QUARANTINED, out, found)
         return False
-    back = had_free_slots and call.attempts < MAX_REJECTED_ATTEMPTS
-    if call.tokens < 1 and not back:
+    allow_tried = had_free_slots and call.attempts < MAX_REJECTED_ATTEMPTS
+    if call.tokens < 1 and not allow_tried:
         refusals.decide(state, call, decisions.Rule.RETRY_NO_ALLOWANCE, out, figures)
         return False
-    node = _next_upstream(state, call, allow_tried=back)
+    node = _next_upstream(state, call, allow_tried=allow_tried)
     if node is None:
         refusals.decide(state, call, decisions.Rule.RETRY_NO_UPSTREAM, out, figures)
         return False
     rationing.record_demand(budget.wants, call.rank, state.now)
-    cut = _retry_cut(state, budget)
-    if call.rank < cut:
-        figures = (budget.held, float(cut), float(call.rank))
+    minimum_rank = _retry_cut(state, budget)
+    if call.rank < minimum_rank:
+        figures = (budget.held, float(minimum_rank), float(call.rank))
         refusals.decide(state, call, decisions.Rule.RETRY_RATIONED, out, figures)
         return False
     if not allowance.spend(budget):
@@ -215,8 +214,10 @@
 def _next_upstream(
     state: states.State, call: states.Call, *, allow_tried: bool
 ) -> ids.NodeId | None:
-    """Return where to send a call again: to another upstream for a token, or back to
-    one that turned it away though it had room."""
+    """Return the upstream of a retry: an untried one for a token, or a tried one.
+
+    :param allow_tried: the call may go back to an upstream that rejected it.
+    """
     kind = call.rule.name
     if call.tokens >= 1:
         node = routing.choose(state, _untried_upstreams(state, call), kind, call.rank)
@@ -231,7 +232,7 @@
 
 
 def _retry_cut(state: states.State, budget: allowance.Budget) -> ids.Rank:
-    """Return the rank from which calls may draw on a budget."""
+    """Return the lowest rank that may draw on a retry budget."""
     window_ms = _window_ms(state)
     supply = allowance.supply(budget, rationing.HORIZON_MS, window_ms)
     return rationing.minimum_rank(budget.wants, supply, state.now)
@@ -243,20 +244,20 @@
 
 
 def earn_retry_budget(state: states.State, call: states.Call) -> None:
-    """Let a first attempt earn its share of the service's retry budget."""
+    """Credit the retry budget of a service for a first attempt."""
     budget = _budget(state, call.service)
     share = state.configuration.service(call.service).retry_share
-    most = allowance.MAX_BUDGET
+    max_budget = allowance.MAX_BUDGET
     bound = state.retry_bound
     allowance.record_first_attempt(budget, state.now, _window_ms(state))
     if bound is not None:
         share = min(share, allowance.EARNED_SHARE * bound.ratio)
         nodes = len(state.membership.members) - len(state.membership.gone)
-        most = allowance.shared_cap(budget, bound, nodes=nodes)
+        max_budget = allowance.shared_cap(budget, bound, nodes=nodes)
     if call.repeat:
         allowance.charge_forced_repeat(budget)
     else:
-        allowance.earn(budget, share, most=most)
+        allowance.earn(budget, share, most=max_budget)
 
 
 def _budget(state: states.State, service: ids.ServiceName) -> allowance.Budget:
@@ -264,8 +265,8 @@
     if budget is None:
         budget = allowance.Budget()
         if state.retry_bound is not None:
-            # A node that has just started does not know how many others there are,
-            # and when all start at once all would spend a share too large.
+            # A node that has just started does not know the number of members, so
+            # that its share of the slack would be too large.
             budget.held = 0.0
         state.budgets[service] = budget
     return budget
@@ -274,9 +275,9 @@
 def _send_to_holder(
     state: states.State, call: states.Call, out: states.Effects
 ) -> None:
-    """Send a call with a ticket to the one node that may run it.
+    """Send a call with a ticket to the only node that may run it.
 
-    Where that incarnation is gone nobody can tell whether it ran.
+    The outcome is unknown when that incarnation has departed.
     """
     member = _holding_member(state, call.holder)
     if member is None:
@@ -297,8 +298,8 @@
     state: states.State, call: states.Call, nodes: list[ids.NodeId]
 ) -> ids.NodeId | None:
     if call.key:
-        # All sendings of one key meet at one node, where the second is told of
-        # the first without the log. Safety does not rest on this.
+        # All requests with one key prefer the same node, which detects repeats
+        # without the log. Safety does not depend on this.
         return keys.preferred_node(call.key, nodes)
     return routing.choose(state, nodes, call.rule.name, call.rank)
 
@@ -322,7 +323,7 @@
 def _send_redirected(
     state: states.State, call: states.Call, node: ids.NodeId, out: states.Effects
 ) -> None:
-    """Send a call that was not run where it was to another node."""
+    """Record a redirect of a call, and send the call to its new node."""
     call.redirects += 1
     rule = decisions.Rule.REDIRECTED
     refusals.decide(state, call, rule, out, upstream=call.tried_upstreams[-1])
@@ -345,7 +346,7 @@
     upstream = upstreams.upstream_of(state, node)
     upstream.outstanding += 1
     upstream.sent_since_report += 1
-    terms = messages.CallMetadata(
+    metadata = messages.CallMetadata(
         service=call.service,
         kind=call.rule.name,
         importance=call.importance,
@@ -370,6 +371,6 @@
             node=node,
             host=member.host,
             port=member.peers_port,
-            metadata=terms,
+            metadata=metadata,
         )
     )
--- a/src/gingerturn/internal/core/slot_costs.py
+++ b/src/gingerturn/internal/core/slot_costs.py
@@ -1,15 +1,13 @@
-"""What a whole request takes of the scarcest service, and the order that follows.
-
-Of two kinds of requests of one priority the cheaper one at the service that sheds goes
-first: its slots then serve more callers. A status read that holds a slot there for
-480 ms keeps out four listings that need 120 ms each. With one of three upstreams lost
-under high demand the model's worth rose from 0.82 to 0.85. The order is graded and not
-strict, and the share of every kind that goes with the first priority is left out of it,
-so that no kind is starved.
-
-Each home node tells on its answers which service below it sheds most and how many ms of
-its slots a request of the answered kind takes there: its own time, or what the calls
-that it makes take together.
+"""Cost of a whole request at its bottleneck service, and the order of shedding by it.
+
+Of two kinds of one priority, the one that is cheaper at the bottleneck service is
+admitted first, since its slots then serve more callers. The order is graded and not
+strict, and the protected share of every kind is left out of it, so that no kind is
+starved.
+
+Each home node reports with its answers which service below it sheds most, and how many
+ms of slot time a request of the answered kind takes there: its own time, or that of its
+child calls together.
 """
 
 import typing
@@ -18,47 +16,47 @@
 from gingerturn.internal.core import messages, routing, state as states
 
 WEIGHT = 0.1
-"""Of one report in the mean, over some ten: the times of one kind vary by half."""
+"""Weight of one report in the mean cost of a kind."""
 
 RECOMPUTE_INTERVAL_MS = 100.0
-"""What a kind takes is worked out at most once in a control window: it moves slowly and
-rides on each answer."""
+"""Least time between two computations of the cost of a kind, which changes slowly and
+is part of each answer."""
 
 MAX_RUNS = 256
-"""Runs looked back on for the calls that one run makes; then both counts are halved."""
+"""Counted runs of a kind at which the counts of its runs and child calls are halved."""
 
 MAX_EXPONENT = 8.0
-"""At this ratio of costs the dearer kind is as good as shed whole but for its spared
-share; more would change nothing."""
+"""Bound of the ratio of costs. At this ratio almost all of the costlier kind is shed
+except for its protected share."""
 
 _HASH_RANGE = float(1 << 64)
 
 
 def by_kind(costs: states.Costs) -> tuple[dict[str, typing.Any], ...]:
-    """Return what is kept by kind, so that kinds that are gone can be forgotten."""
+    """Return the tables that are keyed by kind, for the removal of deleted kinds."""
     return costs.reported, costs.local, costs.fanouts, costs.root_importance
 
 
 def record_run(costs: states.Costs, kind: str) -> None:
-    """Count a run of a kind at the backend server here."""
+    """Count a run of a kind at the local backend server."""
     fanout = costs.fanouts.setdefault(kind, states.Fanout())
     fanout.runs += 1.0
     if fanout.runs < MAX_RUNS:
         return
     fanout.runs /= 2.0
-    fanout.calls = {what: count / 2.0 for what, count in fanout.calls.items()}
+    fanout.calls = {called: count / 2.0 for called, count in fanout.calls.items()}
 
 
 def record_child_call(
     costs: states.Costs, kind: str, service: ids.ServiceName, called: ids.KindName
 ) -> None:
-    """Count a call that a run of a kind makes."""
+    """Count a child call of a run of a kind."""
     calls = costs.fanouts.setdefault(kind, states.Fanout()).calls
     calls[(service, called)] = calls.get((service, called), 0.0) + 1.0
 
 
 def on_report(costs: states.Costs, kind: str, report: messages.LoadReport) -> None:
-    """Take in what a home node tells of a kind."""
+    """Record the cost of a kind that a home node reported."""
     if not report.bottleneck:
         return
     known = costs.reported.get(kind)
@@ -73,14 +71,14 @@
 def shedding_hash(
     costs: states.Costs, kind: str, importance: int, root: int
 ) -> ids.RootHash:
-    """Return the hash of a root moved down as far as its kind is dearer than the
-    cheapest of its importance that ends at the same scarce service."""
+    """Return the hash of a root, lowered by the ratio of its kind's cost to that of the
+    cheapest kind of its importance with the same bottleneck service."""
     costs.root_importance[kind] = importance
     exponent = _exponent(costs, kind, importance)
     if exponent <= 1.0:
         return ids.RootHash(root)
-    moved = (root / _HASH_RANGE) ** exponent
-    return ids.RootHash(min(root, int(moved * _HASH_RANGE)))
+    lowered = (root / _HASH_RANGE) ** exponent
+    return ids.RootHash(min(root, int(lowered * _HASH_RANGE)))
 
 
 def _exponent(costs: states.Costs, kind: str, importance: int) -> float:
@@ -88,9 +86,9 @@
     if own is None or own.slot_ms <= 0.0:
         return 1.0
     least = own.slot_ms
-    for other, its_importance in costs.root_importance.items():
+    for other, other_importance in costs.root_importance.items():
         cost = costs.reported.get(other)
-        if its_importance != importance or cost is None:
+        if other_importance != importance or cost is None:
             continue
         if cost.service == own.service and 0.0 < cost.slot_ms < least:
             least = cost.slot_ms
@@ -98,8 +96,8 @@
 
 
 def report_of(state: states.State, kind: str) -> states.TreeCost:
-    """Return what a request of a kind takes of the service that sheds most, here or
-    below."""
+    """Return the cost of a request of a kind at the service that sheds most, which is
+    the local one or one below."""
     known = state.costs.local.get(kind)
     if known is not None and state.now - known[0] < RECOMPUTE_INTERVAL_MS:
         return known[1]
@@ -122,8 +120,8 @@
         if below is None:
             continue
         level = routing.service_level(state, service, called)
-        # While nothing is shed the deepest service is told, where overload of whole
-        # trees mostly begins, so that the order is known at its onset.
+        # Without shedding, report the deepest service, where overload usually begins,
+        # so that the order is known at its onset.
         if level > highest or not highest:
             highest = level
             per_run = count / fanout.runs
--- a/src/gingerturn/internal/core/upstream_costs.py
+++ b/src/gingerturn/internal/core/upstream_costs.py
@@ -1,91 +1,83 @@
-"""What a call at an upstream is expected to cost: how busy and slow it is, and whether
-it lies in another zone.
-"""
+"""Expected cost of a call at an upstream: occupancy, slowness, failures and zone."""
 
 from gingerturn.internal import ids
 from gingerturn.internal.core import messages, state as states, upstreams
 
 ZONE_PENALTY = 0.15
-"""Added to the occupancy of an upstream in another zone: calls stay in the zone
-until its upstreams are busier by 15 % of their limit, which bounds both the
-traffic between zones and the imbalance that staying may cause."""
+"""Added to the occupancy of an upstream in another zone. It bounds both the traffic
+between zones and the imbalance caused by preferring the own zone."""
 
 MAX_ZONE_PENALTY_FACTOR = 4.0
-"""The penalty grows with the size of a kind over the mean of all calls, up to this:
-large bodies leave the zone last, so that the same balance moves fewer bytes. With
-bodies of 5 and 7 kB in two kinds of seven, 0.044 GB went between zones in 50 s of some
-400 requests a second, 0.059 GB with one penalty for all."""
+"""Bound of the factor by which the zone penalty grows with the mean size of a kind
+over that of all calls: large bodies leave the zone last, so that balancing the load
+moves fewer bytes between zones."""
 
 SLOWNESS_PENALTY = 0.1
-"""Added in proportion to the time of an upstream's answers over the mean of their
-kinds. One that turns twelve times slower costs as much as a full one and gets few
-calls, so that trees which call it several times in a row do not time out there: worth
-0.974 to 0.985 in the model of one such upstream of three. Where speeds differ by two or
-three times, as they always do, it moves little, and all of the capacity is used."""
+"""Added per unit of slowness, the time of an upstream's answers over the mean of their
+kinds. An upstream that turns ten times slower costs as much as a full one, so that
+trees which call it repeatedly do not time out; the usual differences in speed change
+the choice little."""
 
 TRAFFIC_WEIGHT = 0.05
-"""Of one answer in the mean time and size of its kind, over some twenty."""
+"""Weight of one answer in the mean time and size of its kind."""
 
 MEAN_SIZE_WEIGHT = 0.01
-"""Of one answer in the mean size of all, over some hundred calls of unlike kinds."""
+"""Weight of one answer in the mean size of all calls."""
 
 SLOWNESS_WEIGHT = 0.1
-"""Of one answer in the slowness of its upstream, over some ten."""
+"""Weight of one answer in the slowness of its upstream."""
 
 MAX_SLOWNESS = 20.0
-"""One answer counts as at most so many times the mean of its kind."""
+"""Upper bound of the slowness that one answer contributes."""
 
 SLOWNESS_HALF_LIFE_MS = 2_000.0
-"""What nothing confirms halves in 2 s: a slow upstream gets a few calls every some
-seconds, which tell whether it still is."""
+"""Half-life of slowness without new answers, so that a slow upstream is tried again
+every few seconds."""
 
 LOAD_FRESH_MS = 1_000.0
-"""A load counts as told for this long; after it an upstream is taken to be as busy as
-others of its service on the same side, in the own zone or out of it. By loads of half
-a minute ago, as an entry has them of 95 upstreams, far ones that were idle then would
-be preferred to near ones: in the model of 194 nodes under a burst 0.44 of the calls
-of one service leave their zone by such loads, 0.14 by the mean."""
+"""Age up to which a reported load is used. An older one is replaced by the mean
+occupancy of the service's upstreams in the own zone, or in the other zones: stale
+reports of idle upstreams would draw calls out of the zone."""
 
 OCCUPANCY_WEIGHT = 0.2
-"""Of one report in the mean occupancy of a side, over some five: few calls leave the
-zone, and each tells whether more should."""
+"""Weight of one report in the mean occupancy. It is large since few calls leave the
+zone and report on the others."""
 
 OCCUPANCY_HALF_LIFE_MS = 5_000.0
-"""What nothing confirms halves in 5 s, so that a busy zone tries the others again."""
+"""Half-life of the mean occupancy without reports, so that busy zones are retried."""
 
 ERROR_PENALTY = 2.0
-"""Added to the occupancy of an upstream in proportion to its share of failures. One
-that fails half of its calls is chosen when the others are full; its share shows by
-what calls met, which a health check does not."""
+"""Added to the occupancy of an upstream in proportion to its error rate. One that
+fails half of its calls is chosen only when the others are full."""
 
 JITTER = 0.04
-"""Random part of the occupancy, so that entries that know the same do not all choose
-the same upstream."""
+"""Upper bound of the random part of a cost, so that entry nodes with the same reports
+do not all choose the same upstream."""
 
 
 def record_occupancy(
     state: states.State, member: messages.Member, report: messages.LoadReport
 ) -> None:
-    """Take in how busy an upstream said it was."""
-    told = report.load / max(1, report.limit)
+    """Record the occupancy that an upstream reported."""
+    reported = report.load / max(1, report.limit)
     side = (member.service, member.zone == state.zone)
     known = state.occupancies.get(side)
     if known is None:
-        state.occupancies[side] = states.Occupancy(mean=told, reported_at=state.now)
+        state.occupancies[side] = states.Occupancy(mean=reported, reported_at=state.now)
         return
     mean = _mean_occupancy(state, member)
-    known.mean = mean + OCCUPANCY_WEIGHT * (told - mean)
+    known.mean = mean + OCCUPANCY_WEIGHT * (reported - mean)
     known.reported_at = state.now
 
 
 def _mean_occupancy(state: states.State, member: messages.Member) -> float:
-    """Return what part of the limit is taken at upstreams of the same service, of the
-    own zone or of the others."""
+    """Return the mean occupancy of the upstreams of a member's service that share its
+    side: the own zone, or the other zones."""
     known = state.occupancies.get((member.service, member.zone == state.zone))
     if known is None:
         return 0.0
-    faded: float = 0.5 ** ((state.now - known.reported_at) / OCCUPANCY_HALF_LIFE_MS)
-    return known.mean * faded
+    decay: float = 0.5 ** ((state.now - known.reported_at) / OCCUPANCY_HALF_LIFE_MS)
+    return known.mean * decay
 
 
 def record_traffic(
@@ -95,7 +87,7 @@
     elapsed: ids.Milliseconds,
     size: int,
 ) -> None:
-    """Take in how long an answered call took, and how large it was."""
+    """Record the time and the size of an answered call."""
     known = state.traffic.get(kind)
     if known is None:
         known = state.traffic[kind] = states.KindTraffic(elapsed, float(size))
@@ -111,28 +103,28 @@
 
 
 def _slowness(upstream: states.Upstream, now: ids.Milliseconds) -> float:
-    """Return the slowness of an upstream, faded since it was measured."""
+    """Return the slowness of an upstream, decayed since it was measured."""
     age = now - upstream.slowness_measured_at
     if age <= 0.0:
         return upstream.slowness
-    left: float = 0.5 ** (age / SLOWNESS_HALF_LIFE_MS)
-    return 1.0 + (upstream.slowness - 1.0) * left
+    decay: float = 0.5 ** (age / SLOWNESS_HALF_LIFE_MS)
+    return 1.0 + (upstream.slowness - 1.0) * decay
 
 
 def zone_penalty(state: states.State, kind: str) -> float:
-    """Return what another zone costs a call of a kind, by its size."""
+    """Return the penalty of another zone for calls of a kind, by their size."""
     known = state.traffic.get(kind)
     if known is None or state.mean_call_size <= 0.0:
         return ZONE_PENALTY
-    share = known.size / state.mean_call_size
-    return ZONE_PENALTY * min(MAX_ZONE_PENALTY_FACTOR, max(1.0, share))
+    relative_size = known.size / state.mean_call_size
+    return ZONE_PENALTY * min(MAX_ZONE_PENALTY_FACTOR, max(1.0, relative_size))
 
 
 def cost_of(state: states.State, node: ids.NodeId, other_zone_penalty: float) -> float:
-    """Return what is to be expected of an upstream: a measure of its queue and speed,
-    with penalties for another zone and for failures, and a small random part.
+    """Return the expected cost of an upstream: its occupancy, with penalties for
+    slowness, failures and another zone, and a small random part.
 
-    :param apart: what another zone costs.
+    :param other_zone_penalty: penalty of an upstream in another zone.
     """
     member = state.membership.members.get(node)
     penalty = JITTER * state.random.random()
@@ -140,8 +132,8 @@
         penalty += other_zone_penalty
     upstream = state.upstreams.get(node)
     if upstream is None:
-        usual = 0.0 if member is None else _mean_occupancy(state, member)
-        return usual + SLOWNESS_PENALTY + penalty
+        occupancy = 0.0 if member is None else _mean_occupancy(state, member)
+        return occupancy + SLOWNESS_PENALTY + penalty
     penalty += ERROR_PENALTY * upstream.error_rate
     slowness = _slowness(upstream, state.now)
     return _occupancy(state, member, upstream) + SLOWNESS_PENALTY * slowness + penalty
@@ -150,7 +142,7 @@
 def _occupancy(
     state: states.State, member: messages.Member | None, upstream: states.Upstream
 ) -> float:
-    """Return what part of an upstream's limit is expected to be taken."""
+    """Return the share of an upstream's limit that is expected to be in use."""
     limit = upstream.limit or (member.slots if member else 0) or 1
     if state.now - upstream.load_reported_at <= LOAD_FRESH_MS or member is None:
         return (upstream.load + upstream.sent_since_report) / limit
--- a/src/gingerturn/internal/core/upstreams.py
+++ b/src/gingerturn/internal/core/upstreams.py
@@ -1,8 +1,7 @@
-"""What is known of each upstream, and which of a service can be chosen.
+"""State of upstreams, and the pools of healthy ones by service.
 
-Who is healthy stands in a pool that is looked up anew only after a change: asking each
-upstream for each call took 200 us with 95 of them, and among 194 members somebody is
-suspected nearly all the time.
+A pool is rebuilt only after a change of membership or health, since checking every
+upstream for each call is slow in large deployments.
 """
 
 import math
@@ -11,23 +10,23 @@
 from gingerturn.internal.core import state as states
 
 RECENT_ANSWER_MS = 700.0
-"""An answer counts against a suspicion for as long as a probe waits before it raises
-one: a node that froze is passed over no later than by the next suspicion."""
+"""Time after an answer for which a suspicion of its node is ignored. It is as long as
+a probe waits before it raises a suspicion."""
 
 ERROR_WEIGHT = 0.05
-"""Weight of one answer in the share of failures: the memory is some twenty answers."""
+"""Weight of one answer in the error rate of its upstream."""
 
 FAILURES_TO_EJECT = 5
-"""Calls lost in a row: one or two are the fault of a connection."""
+"""Consecutive lost calls that eject an upstream; fewer may be due to a connection."""
 
 EJECT_MS = 5_000.0
 MAX_EJECTIONS = 6
-"""Each further ejection in a row is longer by as much, up to half a minute: one that
-comes and goes is tried less and less often."""
+"""Bound of the linear backoff: the n-th ejection in a row is n times as long, so that
+an unstable upstream is tried less and less often."""
 
 
 def upstream_of(state: states.State, node: ids.NodeId) -> states.Upstream:
-    """Return what is known of an upstream; starts afresh for an unknown one."""
+    """Return the state of an upstream, and create it for an unknown one."""
     upstream = state.upstreams.get(node)
     if upstream is None:
         upstream = states.Upstream(node=node, own_level=states.NO_REPORTED_LEVEL)
@@ -36,12 +35,12 @@
 
 
 def candidates(state: states.State, service: ids.ServiceName) -> list[ids.NodeId]:
-    """Return the upstreams of a service that are neither silent nor ejected."""
+    """Return the upstreams of a service that are neither unresponsive nor ejected."""
     return pool_of(state, service).nodes
 
 
 def pool_of(state: states.State, service: ids.ServiceName) -> states.Pool:
-    """Return the healthy upstreams of a service."""
+    """Return the current pool of healthy upstreams of a service."""
     pool = state.pools.get(service)
     version = state.membership.version
     if pool is None or pool.version != version or state.now >= pool.valid_until:
@@ -50,10 +49,10 @@
 
 
 def _build_pool(state: states.State, service: ids.ServiceName) -> states.Pool:
-    """Find out which upstreams are healthy.
+    """Build the pool of healthy upstreams.
 
-    At most the declared share is ejected: where more are, ejection is passed
-    over for all, since then the fault is more likely common to them.
+    All upstreams are used when more than the configured share of them is unhealthy,
+    since then the fault is likely common to them.
     """
     membership = state.membership
     nodes = membership.by_service.get(service, [])
@@ -83,7 +82,7 @@
         return math.inf
     due = math.inf
     if node in state.membership.suspected and not is_unresponsive(state, node):
-        # One more than the time itself: only then does it count as passed.
+        # Add 1 ms, since the time counts as passed only after it.
         due = upstream.load_reported_at + RECENT_ANSWER_MS + 1.0
     if _ejected(state, node):
         due = min(due, upstream.ejected_until)
@@ -91,11 +90,10 @@
 
 
 def is_unresponsive(state: states.State, node: ids.NodeId) -> bool:
-    """Tell whether a node is suspected and has answered no call of late.
+    """Whether a node is suspected and has not answered a call recently.
 
-    Probes are datagrams: where a tenth of them is lost somebody suspects a sound
-    member each few seconds. With two upstreams left, passing one over for the second
-    or two until it has refuted that overloaded the other.
+    Probes are datagrams, whose loss raises suspicions of healthy members. Avoiding one
+    of few upstreams until it refutes the suspicion would overload the others.
     """
     if node not in state.membership.suspected:
         return False
@@ -106,9 +104,9 @@
 def record_answer(
     state: states.State, node: ids.NodeId, *, failed: bool = False
 ) -> None:
-    """Take in that an upstream answered.
+    """Record that an upstream answered.
 
-    :param failed: with a failure of its own, or by turning the call away.
+    :param failed: the answer is a failure of its own, or a rejection of the call.
     """
     upstream = upstream_of(state, node)
     upstream.consecutive_failures = 0
@@ -117,9 +115,9 @@
 
 
 def record_failure(state: states.State, node: ids.NodeId) -> bool:
-    """Take in that an upstream lost or failed a call.
+    """Record that an upstream lost or failed a call.
 
-    :return: whether it was ejected by this.
+    :return: whether the upstream was ejected.
     """
     upstream = upstream_of(state, node)
     upstream.consecutive_failures += 1
@@ -134,7 +132,7 @@
 def eject(
     state: states.State, upstream: states.Upstream, duration: ids.Milliseconds
 ) -> None:
-    """Pass an upstream over for some time, at least."""
+    """Eject an upstream for at least a duration."""
     upstream.ejected_until = max(upstream.ejected_until, state.now + duration)
     state.membership.version += 1
 
--- a/tests/cover/test_abandoned_exchanges.py
+++ b/tests/cover/test_abandoned_exchanges.py
@@ -1,7 +1,6 @@
-"""What the home does with an exchange whose call it refuses or gives up.
+"""Exchanges of a home node whose call is refused or abandoned.
 
-The pattern: a backend server is slow, calls are refused at their deadlines, and it
-would go on working for callers who have their answer.
+Guards against work of a slow backend server for callers that already have an answer.
 """
 
 import pytest
@@ -14,7 +13,7 @@
 
 
 class _Channel:
-    """The way back to an entry node."""
+    """A channel to an entry node that records the frames sent."""
 
     peer = ids.NodeId("entry")
 
@@ -27,7 +26,7 @@
 
 
 class _Connection:
-    """An exchange with the backend server that is under way."""
+    """The backend connection of a running exchange."""
 
     def __init__(self) -> None:
         self.closed = False
--- a/tests/cover/test_backend_answers.py
+++ b/tests/cover/test_backend_answers.py
@@ -1,4 +1,4 @@
-"""Answers of a backend server: whole or not, and whose they are."""
+"""Answers of a backend server: completeness, and the request that they belong to."""
 
 from gingerturn import dialect
 from gingerturn.internal.shell import backend_http, backend_pool
@@ -9,7 +9,7 @@
 
 
 class Exchange:
-    """An exchange on one connection, and what it tells."""
+    """An exchange on one connection that records its callbacks."""
 
     def __init__(self, *, whole: bool = True) -> None:
         self.pool = backend_pool.Pool(NAMED)
@@ -36,19 +36,19 @@
     def on_failure(self, *, handed: bool) -> None:
         self.failures += 1
 
-    def receive(self, *pieces: bytes) -> None:
-        for piece in pieces:
+    def receive(self, *segments: bytes) -> None:
+        for segment in segments:
             if not self.transport.closed:
-                self.connection.data_received(piece)
+                self.connection.data_received(segment)
 
     @property
     def reusable(self) -> bool:
         return self.pool.take() is self.connection
 
 
-def _answer(number: bytes, body: bytes = b"abc", extra: bytes = b"") -> bytes:
+def _answer(request_id: bytes, body: bytes = b"abc", extra: bytes = b"") -> bytes:
     return b"HTTP/1.1 200 OK\r\nRequest-Id: %b\r\n%bContent-Length: %d\r\n\r\n%b" % (
-        number,
+        request_id,
         extra,
         len(body),
         body,
--- a/tests/cover/test_backend_checks.py
+++ b/tests/cover/test_backend_checks.py
@@ -1,8 +1,6 @@
-"""Finding out whether a backend server ended, by new connections to it.
+"""Detection of a crashed backend server by new connections to it.
 
-Seen: a request ended three backend servers, and only two of the ends were told, on a
-busy machine. The third one closed the connection under the call before its address, so
-that a new connection opened, and broke a moment later.
+A process that crashes may accept one more connection before it refuses others.
 """
 
 import asyncio
@@ -19,14 +17,14 @@
 
 
 class _Connection:
-    """A connection that stands, or was broken by now."""
+    """A connection that is open or already broken."""
 
     def __init__(self, *, usable: bool) -> None:
         self.usable = usable
 
 
 class _Pool:
-    """Gives the connections, or the errors, of a list."""
+    """A pool that returns the connections, or raises the errors, of a list."""
 
     def __init__(self, found: list[_Connection | Exception]) -> None:
         self._found = found
@@ -56,7 +54,7 @@
     return event.refused, pool
 
 
-STANDS = _Connection(usable=True)
+OPEN = _Connection(usable=True)
 BROKEN = _Connection(usable=False)
 REFUSED = ConnectionRefusedError()
 
@@ -66,9 +64,9 @@
 
 
 def test_a_connection_that_stays_open_is_kept_for_the_next_call() -> None:
-    refused, pool = _checked(STANDS)
+    refused, pool = _checked(OPEN)
     assert not refused
-    assert pool.kept == [STANDS]
+    assert pool.kept == [OPEN]
 
 
 @pytest.mark.parametrize("first", [BROKEN, TimeoutError(), OSError()])
@@ -81,7 +79,7 @@
 
 
 def test_broken_connections_without_a_refusal_are_no_crash() -> None:
-    # It has as many connections as it takes.
+    # The backend server is at its limit of connections.
     refused, pool = _checked(BROKEN, BROKEN, BROKEN)
     assert not refused
     assert not pool.kept
--- a/tests/cover/test_choice_of_upstream.py
+++ b/tests/cover/test_choice_of_upstream.py
@@ -1,10 +1,4 @@
-"""Which upstream of several: near ones for large bodies, and few calls for a slow one.
-
-The patterns: clients of one zone load it by a third more than the others, so that part
-of its calls has to leave it; and one upstream of three turns twelve times slower while
-the other two can carry the load. The figures of the second are those of the model's
-sites: worth 0.974 without the measure of slowness, 0.985 to 0.988 with it.
-"""
+"""Choice of an upstream by zone, call size and slowness."""
 
 import collections
 
@@ -58,7 +52,7 @@
 
 def test_large_bodies_leave_the_zone_after_small_ones() -> None:
     state = _entry()
-    # Both upstreams are met once, whatever the choice.
+    # Both upstreams have reported once, whatever the choice.
     for node in ("near", "far"):
         report = builders.report(load=1, limit=100)
         routing.on_load_report(state, ids.NodeId(node), SMALL, report)
@@ -67,14 +61,14 @@
         _run_call(state, LARGE, 20_000, call + 1)
     assert set(_chosen(state, SMALL, near_load=30)) == {"far"}
     assert set(_chosen(state, LARGE, near_load=30)) == {"near"}
-    # Not at any price: a zone without room is left by all.
+    # A zone whose upstreams are full is left by all calls.
     assert set(_chosen(state, LARGE, near_load=95)) == {"far"}
 
 
 def _report_by_zone(
     state: states.State, *, near_load: int, far_load: int, far_age_ms: float
 ) -> None:
-    """Let 20 upstreams of the own zone tell one load, and 75 others another earlier."""
+    """Record a load of 20 upstreams in the own zone, and an older one of 75 others."""
     near = [builders.member(f"near-{n}", "plans", zone="z1") for n in range(20)]
     far = [builders.member(f"far-{n}", "plans", zone="z2") for n in range(75)]
     builders.add_members(state, *near, *far)
@@ -98,7 +92,7 @@
     state.zone = "z1"
     _report_by_zone(state, near_load=40, far_load=25, far_age_ms=2_000.0)
     for _ in range(5):
-        # Of the others the few that were tried tell that they are busier by now.
+        # The few others that were tried report that they are busier now.
         report = builders.report(load=45, limit=100)
         routing.on_load_report(state, ids.NodeId("far-0"), SMALL, report)
     assert _same_zone_share(state) > 0.9
@@ -144,7 +138,7 @@
         run.world.at(2_000.0, lambda: setattr(backend, "slow", slow))
         return run.play()
 
-    with_it = played()
+    with_penalty = played()
     monkeypatch.setattr(upstream_costs, "SLOWNESS_PENALTY", 0.0)
-    without = played()
-    assert with_it.worth > without.worth + 0.005
+    without_penalty = played()
+    assert with_penalty.worth > without_penalty.worth + 0.005
--- a/tests/cover/test_order_by_cost.py
+++ b/tests/cover/test_order_by_cost.py
@@ -1,11 +1,4 @@
-"""Order inside a priority where a service that several kinds need is short.
-
-The pattern: one of three upstreams of the service that trees end at is lost while
-demand is half as high again. Of equal priority, a listing needs four calls of 30 ms
-there and a status read holds one slot for 480 ms. The figures are those of the model's
-site with these kinds: worth 0.82 with the order by hash alone, 0.85 with costs; of the
-listings 0.53 and 0.63 are served, of the status reads 0.63 and 0.43.
-"""
+"""Order of shedding by the cost of a kind at its bottleneck service."""
 
 import random
 
@@ -23,7 +16,7 @@
 )
 from tests.common import builders, routed
 
-CHEAP, DEAR, ALONE = "listing", "status", "alone"
+CHEAP, COSTLY, UNREPORTED = "listing", "status", "alone"
 TOP = configuration.IMPORTANCE_CLASSES - 1
 
 
@@ -36,32 +29,35 @@
 
 
 def _admitted(costs: states.Costs, kind: str, level: float) -> float:
-    """Return the share of a kind's requests whose order is above a level."""
-    drawn = random.Random(1)
-    roots = [drawn.getrandbits(64) for _ in range(4_000)]
-    moved = [slot_costs.shedding_hash(costs, kind, 5, root) for root in roots]
-    return sum(root >= level * 2**64 for root in moved) / len(moved)
+    """Return the share of a kind's requests whose hash is not below a level.
+
+    :param level: as a share of the range of hashes.
+    """
+    generator = random.Random(1)
+    roots = [generator.getrandbits(64) for _ in range(4_000)]
+    lowered = [slot_costs.shedding_hash(costs, kind, 5, root) for root in roots]
+    return sum(root >= level * 2**64 for root in lowered) / len(lowered)
 
 
 def test_the_costlier_of_two_kinds_is_shed_first() -> None:
     costs = _costs(listing=120.0, status=480.0)
     assert _admitted(costs, CHEAP, 0.5) == pytest.approx(0.5, abs=0.03)
-    assert _admitted(costs, DEAR, 0.5) == pytest.approx(1 - 0.5**0.25, abs=0.03)
-    # Graded, not strict: some of the dear kind goes before some of the cheap one.
-    assert _admitted(costs, DEAR, 0.1) > 0.3
+    assert _admitted(costs, COSTLY, 0.5) == pytest.approx(1 - 0.5**0.25, abs=0.03)
+    # The order is not strict: some of the costly kind precedes some of the cheap one.
+    assert _admitted(costs, COSTLY, 0.1) > 0.3
 
 
 def test_kinds_of_another_priority_or_bottleneck_do_not_change_the_order() -> None:
     costs = _costs(listing=120.0, status=480.0)
     costs.root_importance[CHEAP] = 7
-    assert slot_costs.shedding_hash(costs, DEAR, 5, 1 << 63) == 1 << 63
+    assert slot_costs.shedding_hash(costs, COSTLY, 5, 1 << 63) == 1 << 63
     costs = _costs(listing=120.0, status=480.0)
     costs.reported[CHEAP].service = ids.ServiceName("calendar")
-    assert slot_costs.shedding_hash(costs, DEAR, 5, 1 << 63) == 1 << 63
+    assert slot_costs.shedding_hash(costs, COSTLY, 5, 1 << 63) == 1 << 63
 
 
 def test_a_kind_without_a_reported_cost_keeps_its_order() -> None:
-    assert slot_costs.shedding_hash(_costs(), ALONE, 5, 12_345) == 12_345
+    assert slot_costs.shedding_hash(_costs(), UNREPORTED, 5, 12_345) == 12_345
 
 
 def test_a_home_node_reports_the_cost_at_the_bottleneck_service_below() -> None:
@@ -80,8 +76,8 @@
             request = f"r{run}.c{call}"
             event = routed.arrived(number, path="/b/x", request=request)
             sent = routed.sent_to(reducer.reduce(state, event))
-            told = builders.report(level=1_000, scarce="tracker", slot_ms=30.0)
-            answer = builders.answered(sent.attempt, told=told, now=state.now)
+            child_report = builders.report(level=1_000, scarce="tracker", slot_ms=30.0)
+            answer = builders.answered(sent.attempt, told=child_report, now=state.now)
             reducer.reduce(state, answer)
     state.now += slot_costs.RECOMPUTE_INTERVAL_MS
     report = slot_costs.report_of(state, "top")
@@ -105,8 +101,10 @@
 def test_the_statistics_of_a_kind_are_dropped_with_its_route() -> None:
     state = routed.node_state(routed.route("top"), service="plans")
     sent = routed.sent_to(reducer.reduce(state, routed.arrived(1)))
-    told = builders.report(scarce="tracker", slot_ms=30.0)
-    reducer.reduce(state, builders.answered(sent.attempt, told=told, now=state.now))
+    cost_report = builders.report(scarce="tracker", slot_ms=30.0)
+    reducer.reduce(
+        state, builders.answered(sent.attempt, told=cost_report, now=state.now)
+    )
     assert "top" in state.costs.reported
     assert "top" in state.mean_answer_ms
     table = routed.table(routed.route("other"), version=2)
@@ -116,7 +114,7 @@
 
 
 def test_an_eighth_of_a_costly_kind_keeps_the_first_priority() -> None:
-    state = routed.node_state(routed.route(DEAR, priority=5))
+    state = routed.node_state(routed.route(COSTLY, priority=5))
     builders.add_members(state, builders.member("n2", "plans"))
     state.costs = _costs(listing=10.0, status=1_000.0)
     state.costs.root_importance = dict.fromkeys(state.costs.root_importance, 2)
@@ -124,9 +122,9 @@
         routed.sent_to(reducer.reduce(state, routed.arrived(n))).metadata
         for n in range(2_000)
     ]
-    spared = [terms for terms in sent if terms.importance == TOP]
-    assert 0.1 < len(spared) / len(sent) < 0.15
-    assert all(terms.root >= arrivals.PROTECTED_FROM for terms in spared)
+    protected = [metadata for metadata in sent if metadata.importance == TOP]
+    assert 0.1 < len(protected) / len(sent) < 0.15
+    assert all(metadata.root >= arrivals.PROTECTED_FROM for metadata in protected)
 
 
 def test_more_whole_requests_complete_where_the_cheaper_kind_goes_first(
@@ -146,5 +144,5 @@
     by_hash = played()
     assert by_cost.worth > by_hash.worth + 0.01
     served = by_cost.tallies["status-check"].share
-    everybody = [tally.share for tally in by_cost.tallies.values()]
-    assert served > sum(everybody) / len(everybody) / 4
+    shares = [tally.share for tally in by_cost.tallies.values()]
+    assert served > sum(shares) / len(shares) / 4
--- a/tests/cover/test_routed_attempts.py
+++ b/tests/cover/test_routed_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts on routes: what is sent again, within which bounds, and what never is."""
+"""Attempts on routes: redirects, retries and their bounds."""
 
 import collections
 
@@ -93,7 +93,7 @@
     out = reducer.reduce(state, routed.arrived(5, path="/b/x", request="r1.c1"))
     child = routed.sent_to(out).metadata
     assert child.depth == 1
-    # Not the class of its own route, which is higher.
+    # Its own route has a higher class, which does not apply.
     assert child.importance == 3
     assert child.deadline_ms <= 300.0
     assert child.root == terms.root
@@ -128,8 +128,8 @@
 def check_repeats_stay_within_the_bound(
     nodes: int, steps: list[tuple[int, bool]], ratio: float = 0.2
 ) -> None:
-    """Play requests of which some are turned away again and again, and count the
-    repeats of every window."""
+    """Send requests, reject some of them on every attempt, and check the number of
+    repeats in every window."""
     window, slack = 10_000.0, 49.0
     bound = allowance.Bound(slack, ratio, window)
     state = routed.node_state(routed.route(max_attempts=4), retry_bound=bound)
@@ -139,7 +139,7 @@
     firsts: list[float] = []
     repeats: list[float] = []
     now = builders.START
-    for number, (pause, fails) in enumerate(steps):
+    for number, (pause, rejected) in enumerate(steps):
         now += pause
         out = reducer.reduce(state, routed.arrived(number, now=now))
         opened = builders.all_of(out, effects.OpenAttempt)
@@ -147,7 +147,7 @@
             continue
         firsts.append(now)
         attempt = opened[0].attempt
-        while fails:
+        while rejected:
             refusal = routed.refused(attempt, rule=FULL, arrived_there=True, now=now)
             opened = builders.all_of(
                 reducer.reduce(state, refusal), effects.OpenAttempt
@@ -156,15 +156,17 @@
                 break
             repeats.append(now)
             attempt = opened[0].attempt
-        if not fails:
+        if not rejected:
             done = builders.answered(attempt, now=now)
             reducer.reduce(state, done)
     for end in repeats:
         inside = [at for at in repeats if end - window <= at <= end]
         # The bound counts the requests of this window or of the one before it.
-        now_sent = sum(end - window <= at <= end for at in firsts)
-        before = sum(end - 2 * window <= at <= end - window for at in firsts)
-        allowed = ratio * max(now_sent, before) + slack / (nodes + 1)
+        in_window = sum(end - window <= at <= end for at in firsts)
+        in_previous_window = sum(
+            end - 2 * window <= at <= end - window for at in firsts
+        )
+        allowed = ratio * max(in_window, in_previous_window) + slack / (nodes + 1)
         assert len(inside) <= allowed
 
 
@@ -179,7 +181,7 @@
 
 
 def test_a_low_ratio_bounds_a_long_run_of_failures() -> None:
-    # The share that a first attempt earns was fixed, whatever the deployment allowed.
+    # Guards against a fixed share per first attempt that ignores the configured ratio.
     steps = [(20, number % 4 == 0) for number in range(2_000)]
     check_repeats_stay_within_the_bound(5, steps, 0.05)
 
@@ -222,7 +224,7 @@
 
 
 def test_the_backend_server_of_a_stopping_routed_node_gets_calls_for_a_while() -> None:
-    # It was shut off for all of the stop and the start, 4 s, though it went on running.
+    # Guards against an idle backend server during the whole stop and start.
     state = routed.node_state(service="plans")
     out = reducer.reduce(state, events.StopRequested(now=state.now, grace_ms=5_500.0))
     assert not builders.all_of(out, effects.PutRecord)
@@ -280,8 +282,7 @@
 
 
 def test_an_eighth_of_every_kind_gets_the_first_priority() -> None:
-    # With one of three upstreams left, the first priority took all of it and three in
-    # four callers got nothing.
+    # Guards against starvation of the lower priorities when capacity is short.
     state = _state(priority=5)
     classes = collections.Counter(
         routed.sent_to(reducer.reduce(state, routed.arrived(n))).metadata.importance
