--- a/src/gingerturn/internal/core/calls.py
+++ b/src/gingerturn/internal/core/calls.py
@@ -1,4 +1,4 @@
-"""The entry side: calls from callers, their attempts and retries."""
+"""Entry side: calls from callers, and the results of their attempts."""
 
 import heapq
 
@@ -27,29 +27,29 @@
 )
 
 GRACE_MS = 100.0
-"""The home node ends a call at its deadline and knows whether it ran; the entry
-node waits this much longer for that word before it must say ``unknown``."""
+"""Time after the deadline of a call for which the entry node waits for the home node's
+refusal, which says whether the call ran, before it answers that this is unknown."""
 
 CALL_DEADLINE = 0
 HOSTED_DEADLINE = 1
 OVERLOAD_STATUSES = frozenset({429, 503})
 FIRST_FAILURE_STATUS = 500
 GATEWAY_TIMEOUT = 504
-"""What a backend server answers at the deadline; then no time is left to repeat."""
+"""Status of a backend server at the deadline, when no time is left for a retry."""
 
-AVOID_MS = 1_000.0
-"""An upstream that said it has no backend server is passed over for 1 s, by when
-gossip has told the rest."""
+NO_BACKEND_EJECT_MS = 1_000.0
+"""Ejection of an upstream without a backend server. It lasts until gossip has spread
+the change."""
 
-AVOID_LEAVING_MS = 10_000.0
-"""One that said it is leaving for longer than it lingers, so that no call is under
-way to it when it closes its connections."""
+LEAVING_EJECT_MS = 10_000.0
+"""Ejection of a leaving upstream. It outlasts the upstream's linger time, so that no
+call is in flight when the upstream closes its connections."""
 
 _DEADLINE_RULES = frozenset(
     {decisions.Rule.DEADLINE_PASSED, decisions.Rule.QUEUE_EXPIRED}
 )
 _NO_REPEAT_RULES = _DEADLINE_RULES | {decisions.Rule.QUARANTINED}
-_ABSENT_RULES = frozenset(
+_UNAVAILABLE_RULES = frozenset(
     {
         decisions.Rule.LEAVING,
         decisions.Rule.STOPPING,
@@ -58,14 +58,14 @@
         decisions.Rule.BACKEND_ENDED,
     }
 )
-_UNCLEAR_RULES = frozenset(
+_UNKNOWN_OUTCOME_RULES = frozenset(
     {
         decisions.Rule.OUTCOME_UNKNOWN,
         decisions.Rule.BACKEND_ENDED,
         decisions.Rule.QUARANTINED,
     }
 )
-_FINAL_RULES = frozenset(
+_NO_REDIRECT_RULES = frozenset(
     {
         decisions.Rule.KEY_INVALID,
         decisions.Rule.NOT_IN_TIME,
@@ -77,7 +77,7 @@
 def on_call_arrived(
     state: states.State, event: events.CallArrived, out: states.Effects
 ) -> None:
-    """Classify a call, tie it to its parent, and send it or refuse it."""
+    """Classify a call, link it to its parent, and send or refuse it."""
     parent = arrivals.find_parent(state, event)
     workspace = ids.WorkspaceName("")
     if state.routed:
@@ -97,7 +97,7 @@
     if state.stopping and parent is None and not _served_while_stopping(state):
         refusals.refuse(state, call, decisions.Rule.STOPPING, out)
         return
-    if not _key_fits(state, call, event, out):
+    if not _check_key(state, call, event, out):
         return
     heapq.heappush(state.deadlines, (call.deadline + GRACE_MS, CALL_DEADLINE, call.id))
     if parent is not None or caps.admit(state, call, out):
@@ -110,7 +110,7 @@
     rule: decisions.Rule,
     out: states.Effects,
 ) -> None:
-    """Refuse a request that the configuration does not allow, or may not."""
+    """Refuse a request that could not be resolved to a route and a workspace."""
     refusals.refuse(
         state,
         arrivals.root_call(state, event, arrivals.UNROUTED),
@@ -124,7 +124,7 @@
 def on_caller_gone(
     state: states.State, event: events.CallerGone, out: states.Effects
 ) -> None:
-    """Cancel the tree below a call that nobody waits for any more."""
+    """Cancel the attempt of a call whose caller has disconnected."""
     call = state.calls.get(event.call)
     if call is None:
         return
@@ -136,11 +136,11 @@
 def on_attempt_answered(
     state: states.State, event: events.AttemptAnswered, out: states.Effects
 ) -> None:
-    """Pass an answer on, or send the call again where that is allowed."""
+    """Relay an answer to the caller, or retry the call where that is allowed."""
     attempt = state.attempts.pop(event.attempt, None)
     if attempt is None:
         return
-    call = _returned(state, attempt, event.tokens, event.report)
+    call = _settle_attempt(state, attempt, event.tokens, event.report)
     failed = event.status >= FIRST_FAILURE_STATUS and not event.child_failed
     upstreams.record_answer(state, attempt.node, failed=failed)
     if call is None:
@@ -150,7 +150,7 @@
         kind = call.rule.name
         upstream_costs.record_traffic(state, attempt.node, kind, elapsed, event.size)
     call.attempt = None
-    if _worth_repeating(state, call, event):
+    if _should_retry(state, call, event):
         call.never_ran = False
         call.tried_upstreams.append(attempt.node)
         if sending.retry(state, call, out):
@@ -174,18 +174,18 @@
 def on_attempt_refused(
     state: states.State, event: events.AttemptRefused, out: states.Effects
 ) -> None:
-    """Take in a home node's refusal: go elsewhere, send again, or give up."""
+    """Handle a home node's refusal: redirect, retry or refuse the call."""
     attempt = state.attempts.pop(event.attempt, None)
     if attempt is None:
         return
-    call = _returned(state, attempt, event.tokens, event.report)
+    call = _settle_attempt(state, attempt, event.tokens, event.report)
     rule = decisions.Rule(event.refusal.rule)
-    own_failure = event.refusal.reached_backend or rule in _UNCLEAR_RULES
+    own_failure = event.refusal.reached_backend or rule in _UNKNOWN_OUTCOME_RULES
     upstreams.record_answer(state, attempt.node, failed=own_failure)
-    if rule in _ABSENT_RULES:
+    if rule in _UNAVAILABLE_RULES:
         upstream = upstreams.upstream_of(state, attempt.node)
-        avoid = AVOID_LEAVING_MS if event.report.leaving else AVOID_MS
-        upstreams.eject(state, upstream, avoid)
+        duration = LEAVING_EJECT_MS if event.report.leaving else NO_BACKEND_EJECT_MS
+        upstreams.eject(state, upstream, duration)
     if call is None:
         return
     call.attempt = None
@@ -197,28 +197,33 @@
         refusals.refuse(state, call, rule, out, remote=event.refusal)
     elif event.refusal.outcome is messages.Outcome.UNKNOWN:
         call.never_ran = False
-        hopeless = rule in _NO_REPEAT_RULES or not sending.may_repeat(call)
-        if hopeless or not sending.retry(state, call, out):
+        final = rule in _NO_REPEAT_RULES or not sending.may_repeat(call)
+        if final or not sending.retry(state, call, out):
             refusals.refuse(state, call, rule, out, remote=event.refusal)
     elif event.refusal.reached_backend:
-        room = event.refusal.had_free_slots
-        if not sending.retry(state, call, out, ran=False, room=room):
+        had_free_slots = event.refusal.had_free_slots
+        if not sending.retry(
+            state, call, out, may_have_run=False, had_free_slots=had_free_slots
+        ):
             refusals.refuse(state, call, rule, out, remote=event.refusal)
-    elif rule in _FINAL_RULES or not sending.redirect(state, call, out):
+    elif rule in _NO_REDIRECT_RULES or not sending.redirect(state, call, out):
         refusals.refuse(state, call, rule, out, remote=event.refusal)
 
 
 def on_attempt_lost(
     state: states.State, event: events.AttemptLost, out: states.Effects
 ) -> None:
-    """Take in the loss of a connection; the tokens that went along are spent."""
+    """Handle the loss of an attempt's connection.
+
+    The tokens of an attempt that reached its upstream are spent.
+    """
     attempt = state.attempts.pop(event.attempt, None)
     if attempt is None:
         return
-    _note_returned(state, attempt)
+    _release_attempt(state, attempt)
     if upstreams.record_failure(state, attempt.node):
         operator_log.warn(
-            out, "routing", f"Upstream {attempt.node} ejected after losses."
+            out, "routing", f"Upstream {attempt.node} ejected after lost calls."
         )
     call = state.calls.get(attempt.call)
     if call is None:
@@ -240,10 +245,9 @@
 def on_node_unresponsive(
     state: states.State, node: ids.NodeId, out: states.Effects
 ) -> None:
-    """Send repeatable calls that wait at a silent node to another one.
+    """Retry the repeatable calls in flight to an unresponsive node elsewhere.
 
-    Those that may not repeat, or find no other upstream, go on waiting: the node may
-    be slow and answer yet.
+    Other calls keep waiting, since the node may only be slow.
     """
     waiting = [a for a in state.attempts.values() if a.node == node]
     for attempt in waiting:
@@ -251,7 +255,7 @@
         if (
             call is None
             or not sending.may_repeat(call)
-            or not sending.can_go_elsewhere(state, call)
+            or not sending.can_retry_elsewhere(state, call)
         ):
             continue
         call.never_ran = False
@@ -260,8 +264,8 @@
         sending.retry(state, call, out)
 
 
-def give_up_all(state: states.State, out: states.Effects) -> None:
-    """Answer every call that is still held, since the process is about to end."""
+def refuse_all(state: states.State, out: states.Effects) -> None:
+    """Refuse every open call, since the process is about to end."""
     for call in list(state.calls.values()):
         if call.attempt is not None:
             call.never_ran = False
@@ -272,16 +276,16 @@
 def on_level_reported(
     state: states.State, event: events.LevelReported, out: states.Effects
 ) -> None:
-    """Take in an upstream's answer to a question about its level."""
+    """Record an upstream's response to a level request."""
     upstream = upstreams.upstream_of(state, event.node)
-    sent = upstream.sent_since_report
-    _hear(state, event.node, event.kind, event.report)
-    # What was sent meanwhile may not be in the load that was told.
-    upstream.sent_since_report = sent
+    sent_since_report = upstream.sent_since_report
+    _record_report(state, event.node, event.kind, event.report)
+    # The reported load may not include attempts sent since the request.
+    upstream.sent_since_report = sent_since_report
 
 
 def on_deadline(state: states.State, call_id: ids.CallId, out: states.Effects) -> None:
-    """Give up on a call whose home node said nothing by its deadline."""
+    """Refuse a call whose home node did not respond by its deadline."""
     call = state.calls.get(call_id)
     if call is None:
         return
@@ -293,10 +297,10 @@
     refusals.refuse(state, call, decisions.Rule.DEADLINE_PASSED, out)
 
 
-def _worth_repeating(
+def _should_retry(
     state: states.State, call: states.Call, event: events.AttemptAnswered
 ) -> bool:
-    """Tell whether another upstream may well answer better than this one did."""
+    """Whether another upstream may answer successfully where this one failed."""
     if not call.rule.repeatable:
         return False
     if event.status in OVERLOAD_STATUSES:
@@ -307,15 +311,15 @@
 
 
 def _served_while_stopping(state: states.State) -> bool:
-    """Tell whether a stopping node still serves callers that come to it.
+    """Whether a stopping node still serves callers.
 
-    Where callers are led here by readiness they notice the stop only after some
-    seconds; the node knows the other upstreams and can serve them meanwhile.
+    A load balancer notices the node's readiness with a delay of seconds, in which the
+    node can still send calls to other upstreams.
     """
     return state.routed and state.now < state.stop_after
 
 
-def _key_fits(
+def _check_key(
     state: states.State,
     call: states.Call,
     event: events.CallArrived,
@@ -334,30 +338,30 @@
     return False
 
 
-def _returned(
+def _settle_attempt(
     state: states.State,
     attempt: states.Attempt,
     tokens: int,
     report: messages.LoadReport,
 ) -> states.Call | None:
-    """Take back an attempt's tokens and its load report."""
-    _note_returned(state, attempt)
+    """Record an attempt's load report, and return its tokens to the call."""
+    _release_attempt(state, attempt)
     call = state.calls.get(attempt.call)
     kind = call.rule.name if call is not None else ""
-    _hear(state, attempt.node, kind, report)
+    _record_report(state, attempt.node, kind, report)
     if call is not None:
         call.tokens += allowance.returned_tokens(taken=attempt.tokens, reported=tokens)
     return call
 
 
-def _hear(
+def _record_report(
     state: states.State, node: ids.NodeId, kind: str, report: messages.LoadReport
 ) -> None:
     routing.on_load_report(state, node, kind, report)
     slot_costs.on_report(state.costs, kind, report)
 
 
-def _note_returned(state: states.State, attempt: states.Attempt) -> None:
+def _release_attempt(state: states.State, attempt: states.Attempt) -> None:
     upstream = upstreams.upstream_of(state, attempt.node)
     upstream.outstanding -= 1
 
@@ -371,5 +375,5 @@
     call.attempt = None
     if attempt is None:
         return
-    _note_returned(state, attempt)
+    _release_attempt(state, attempt)
     out.append(effects.CancelAttempt(attempt=attempt.id))
--- a/src/gingerturn/internal/core/replies.py
+++ b/src/gingerturn/internal/core/replies.py
@@ -1,5 +1,4 @@
-"""What the entry node of a hosted call is told: an answer, a refusal, or what became of
-the first call of its key."""
+"""Replies to the entry nodes of hosted calls: answers, refusals and stored answers."""
 
 import heapq
 
@@ -22,21 +21,20 @@
     rule: decisions.Rule,
     out: states.Effects,
     *,
-    handed: bool = False,
+    dispatched: bool = False,
     outcome: messages.Outcome | None = None,
     holder: str = "",
-    ended: bool = True,
+    finished: bool = True,
     figures: tuple[float, ...] | None = None,
-    arrived: bool = False,
-    room: bool = False,
+    reached_backend: bool = False,
+    had_free_slots: bool = False,
 ) -> None:
-    """Refuse a call towards its entry node.
+    """Send a refusal of a call to its entry node.
 
-    :param handed: the call may have been run by the backend server.
-    :param ended: nothing of it is left here; one that the backend server still works
-        on keeps its slot.
-    :param arrived: the backend server turned the call away.
-    :param room: it did so with slots free.
+    :param dispatched: the backend server may have run the call.
+    :param finished: the call is forgotten; one that is still running keeps its slot.
+    :param reached_backend: the backend server rejected the call.
+    :param had_free_slots: the call was rejected though slots were free.
     """
     backend = state.backend
     if rule is decisions.Rule.QUARANTINED:
@@ -50,7 +48,7 @@
         )
     decision = decide(state, hosted, rule, out, figures)
     if outcome is None:
-        outcome = messages.Outcome.UNKNOWN if handed else messages.Outcome.NOT_RUN
+        outcome = messages.Outcome.UNKNOWN if dispatched else messages.Outcome.NOT_RUN
     report = admission.load_report(state, hosted.metadata.kind)
     level = max(report.level, report.tree_level)
     retry_after_ms = admission.retry_after_ms(state, hosted.rank, level)
@@ -65,14 +63,14 @@
                 retry_after_ms=retry_after_ms,
                 decision=decision,
                 holder=holder,
-                reached_backend=arrived,
-                had_free_slots=room,
+                reached_backend=reached_backend,
+                had_free_slots=had_free_slots,
             ),
             tokens=hosted.tokens,
             report=report,
         )
     )
-    if ended:
+    if finished:
         forget(state, hosted)
 
 
@@ -83,20 +81,22 @@
     out: states.Effects,
     *,
     holder: str = "",
-    handed: bool = False,
+    dispatched: bool = False,
     outcome: messages.Outcome | None = None,
 ) -> None:
-    """Refuse a repeat that waited for the first call of its key."""
+    """Refuse a repeat that waits for the first call of its key."""
     hosted = state.hosted.get(hosted_id)
     if hosted is None or hosted.state is not states.HostedState.WAITING:
         return
-    refuse(state, hosted, rule, out, holder=holder, handed=handed, outcome=outcome)
+    refuse(
+        state, hosted, rule, out, holder=holder, dispatched=dispatched, outcome=outcome
+    )
 
 
 def refuse_queue(
     state: states.State, rule: decisions.Rule, out: states.Effects
 ) -> None:
-    """Refuse every queued call; other upstreams can still take them."""
+    """Refuse every queued call; other upstreams may still accept them."""
     while (hosted_id := admission.dequeue(state)) is not None:
         refuse(state, state.hosted[hosted_id], rule, out)
 
@@ -104,11 +104,14 @@
 def send_answer(
     state: states.State, hosted: states.Hosted, out: states.Effects, *, whole: bool
 ) -> None:
-    """Send the backend server's answer, and keep a whole one for repeats of its key."""
-    keep = hosted.metadata.key if whole else ""
+    """Send the backend server's answer, and store a complete one under its key.
+
+    :param whole: the answer is complete, not streamed.
+    """
+    store_key = hosted.metadata.key if whole else ""
     if hosted.orphaned:
-        if keep:
-            out.append(effects.StoreAnswer(hosted=hosted.id, key=keep))
+        if store_key:
+            out.append(effects.StoreAnswer(hosted=hosted.id, key=store_key))
         return
     out.append(
         effects.SendAnswer(
@@ -116,7 +119,7 @@
             tokens=hosted.tokens,
             report=admission.load_report(state, hosted.metadata.kind),
             decision=hosted.decision,
-            store_key=keep,
+            store_key=store_key,
             child_failed=hosted.child_failed,
         )
     )
@@ -129,7 +132,7 @@
     out: states.Effects,
     figures: tuple[float, ...],
 ) -> str:
-    """Keep a decision, let it be logged, and return its id."""
+    """Record and log a decision, and return its id."""
     decision = state.decisions.record(
         rule,
         now=state.now,
@@ -156,15 +159,17 @@
 
 
 def forget(state: states.State, hosted: states.Hosted) -> None:
-    """Forget a call that was answered or refused."""
+    """Remove a call that was answered or refused."""
     state.hosted.pop(hosted.id, None)
     state.hosted_by_span.pop(hosted.span, None)
 
 
-def is_repeat(state: states.State, hosted: states.Hosted, out: states.Effects) -> bool:
-    """Answer, or let wait, a call whose key is known here.
+def handle_repeat(
+    state: states.State, hosted: states.Hosted, out: states.Effects
+) -> bool:
+    """Answer a call whose key is known here, or let it wait for the first one.
 
-    :return: ``False`` when the call is to go on to admission.
+    :return: ``False`` when the call has to pass admission.
     """
     entry = state.keys.get(hosted.metadata.key)
     if entry is None or entry.phase is states.KeyPhase.OURS_IDLE:
@@ -192,7 +197,7 @@
     out: states.Effects,
 ) -> None:
     if not entry.outcome_known:
-        refuse(state, hosted, decisions.Rule.OUTCOME_UNKNOWN, out, handed=True)
+        refuse(state, hosted, decisions.Rule.OUTCOME_UNKNOWN, out, dispatched=True)
         return
     if not entry.answer_stored:
         outcome = messages.Outcome.ALREADY_RUN
@@ -216,12 +221,16 @@
     hosted: states.Hosted,
     out: states.Effects,
     *,
-    kept: bool,
-    certain: bool,
+    answer_stored: bool,
+    outcome_known: bool,
 ) -> None:
-    """Enter the last phase of a key and tell the repeats that waited."""
+    """Mark a key as done, and answer the repeats that wait for it.
+
+    :param answer_stored: the answer is stored for repeats.
+    :param outcome_known: the call certainly ran.
+    """
     entry = state.keys[hosted.metadata.key]
-    keys.mark_done(entry, kept=kept, certain=certain)
+    keys.mark_done(entry, kept=answer_stored, certain=outcome_known)
     waiters = list(entry.waiters)
     entry.waiters.clear()
     for waiter_id in waiters:
@@ -231,14 +240,14 @@
 
 
 def fail_key(
-    state: states.State, hosted: states.Hosted, out: states.Effects, *, handed: bool
+    state: states.State, hosted: states.Hosted, out: states.Effects, *, dispatched: bool
 ) -> None:
-    """Take in that the call that holds a key failed.
+    """Handle the failure of the call that holds a key.
 
-    :param handed: the backend server may have run it.
+    :param dispatched: the backend server may have run the call.
     """
-    if handed:
-        finish_key(state, hosted, out, kept=False, certain=False)
+    if dispatched:
+        finish_key(state, hosted, out, answer_stored=False, outcome_known=False)
         return
     entry = state.keys[hosted.metadata.key]
     keys.mark_not_dispatched(entry)
