--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -41,7 +41,9 @@
 """News of the end of a backend server in a membership message; measured with 32
 requests under way."""
 
-END_TOLD = 3 * math.ceil(math.log2(MEMBERS + 2)) // quarantine_table.END_TOLD_PART
+END_TOLD = (
+    3 * math.ceil(math.log2(MEMBERS + 2)) // quarantine_table.CRASH_TRANSMISSION_DIVISOR
+)
 """How often each node passes it on, by ``core.member_table.rumour_count``."""
 
 COMPRESSION_MB = peers.MAX_COMPRESSING * COMPRESSED_PAIR_MB
@@ -307,7 +309,8 @@
         f" more, {appends + 525 / 60:.1f} in all"
         f" ({_mark(appends + 525 / 60, LOG_APPENDS)}).",
         f"- Backend servers that end by themselves: news of one with"
-        f" {quarantine.REQUESTS_AN_END} requests under way takes {END_BYTES:.0f} B and"
+        f" {quarantine.REQUESTS_PER_MESSAGE} requests under way takes"
+        f" {END_BYTES:.0f} B and"
         f" is passed on {END_TOLD} times by each node. {FAILED} a day are"
         f" {FAILED * END_BYTES * END_TOLD / DAY_S:.1f} B/s; ten within ten seconds"
         f" {END_BYTES * END_TOLD:,.0f} B/s"
--- a/benchmarks/workspaces.py
+++ b/benchmarks/workspaces.py
@@ -37,18 +37,18 @@
 
 
 CAP_WAYS: dict[str, Patches] = {
-    "equal parts": [(caps, "request_leases", _nothing), (caps, "HOLD_MS", 0.0)],
+    "equal parts": [(caps, "request_leases", _nothing), (caps, "MAX_WAIT_MS", 0.0)],
     "each request counted at the keeper": [(cap_allocator, "LEASED_SHARE", 0.0)],
     "leases and single tokens (kept)": [],
 }
 
 KEY_WAYS: dict[str, Patches] = {
     "own reads": [
-        (freshness_renewal, "_ask", _nothing),
-        (freshness_renewal, "READ_FROM_MS", freshness_renewal.ASK_FROM_MS),
-        (freshness_renewal, "LAST_READ_FROM_MS", freshness_renewal.ASK_FROM_MS),
+        (freshness_renewal, "_query_member", _nothing),
+        (freshness_renewal, "READ_AGE_MS", freshness_renewal.QUERY_AGE_MS),
+        (freshness_renewal, "FALLBACK_READ_AGE_MS", freshness_renewal.QUERY_AGE_MS),
     ],
-    "members only": [(freshness_renewal, "_read", _nothing)],
+    "members only": [(freshness_renewal, "_read_log", _nothing)],
     "both (kept)": [],
 }
 
--- a/src/gingerturn/internal/core/backend_crashes.py
+++ b/src/gingerturn/internal/core/backend_crashes.py
@@ -1,33 +1,33 @@
-"""Whether the backend server beside this node ended, and which calls it was at.
+"""Detection of crashes of the local backend server.
 
-A connection breaks for many reasons; the backend server has ended only if nothing
-listens at its address any more. The calls that it was at then are remembered by what is
-the same whenever they are sent, since one of them may be why it ended.
+A connection may break for many reasons. The backend server has crashed only if its
+address refuses connections or it has restarted. The calls that were in progress are
+reported by fingerprint, as one of them may be the cause.
 """
 
 from gingerturn.internal import ids
 from gingerturn.internal.core import effects, operator_log, quarantine, state as states
 
-MAX_BROKEN = quarantine.MAX_REQUESTS
-"""Broken calls remembered, those that broke first: as many as news of an end tells."""
+MAX_BROKEN_CALLS = quarantine.MAX_REQUESTS
+"""Broken calls that are kept, the earliest first; a crash report holds no more."""
 
-TOGETHER_MS = 100.0
-"""Answers that were on their way when a backend server ended are read among the
-connections that break: one read this long after a break says nothing of it."""
+IN_FLIGHT_ANSWER_MS = 100.0
+"""Answers that were in flight at a crash may be read this long after the first broken
+connection. They do not show that the backend server is still running."""
 
-TOLD = 16
-"""Fingerprints named in the log line of an end."""
+MAX_LOGGED_FINGERPRINTS = 16
+"""Fingerprints in the log line of a crash."""
 
-_AT_WORK = frozenset({states.HostedState.RUNNING, states.HostedState.STREAMING})
+_IN_PROGRESS = frozenset({states.HostedState.RUNNING, states.HostedState.STREAMING})
 
 
 def record_broken_call(
     state: states.State, hosted: states.Hosted, out: states.Effects
 ) -> None:
-    """Remember a call whose connection broke, and find out why it did."""
+    """Record a call whose connection broke, and check the backend server."""
     backend = state.backend
-    backend.broken_calls = _since_answered(backend)
-    if len(backend.broken_calls) < MAX_BROKEN:
+    backend.broken_calls = _broken_since_answer(backend)
+    if len(backend.broken_calls) < MAX_BROKEN_CALLS:
         call = states.BrokenCall(hosted.metadata.fingerprint, state.now)
         backend.broken_calls.append(call)
     if not backend.check_pending:
@@ -36,63 +36,67 @@
 
 
 def on_checked(state: states.State, *, refused: bool, out: states.Effects) -> bool:
-    """Take in whether the backend server still listens.
+    """Apply the result of a check of the backend server.
 
-    :return: whether it ended by itself.
+    :param refused: its address refused the connection.
+    :return: whether it crashed.
     """
     backend = state.backend
     backend.check_pending = False
     if not refused or not backend.broken_calls:
         return False
-    _note_end(state, out)
+    _record_crash(state, out)
     return True
 
 
 def on_restarted(state: states.State, out: states.Effects) -> None:
-    """Take in that the backend server started anew under the calls that it was at.
+    """Record a crash if the backend server restarted with calls in progress.
 
-    It tells of ends that no connection told: something between node and backend server
-    still takes connections, or those of before fell silent. Calls that broke before the
-    former start answered again were lost for another reason.
+    This detects crashes that no check shows, for example if a proxy in between still
+    accepts connections. Calls that broke before the previous process answered again
+    were lost for another reason.
     """
     backend = state.backend
-    backend.broken_calls = _since_answered(backend)
-    if _under_way(state):
-        _note_end(state, out)
+    backend.broken_calls = _broken_since_answer(backend)
+    if _requests_in_progress(state):
+        _record_crash(state, out)
 
 
-def _since_answered(backend: states.Backend) -> list[states.BrokenCall]:
-    """Return the broken calls after which the backend server answered no more.
+def _broken_since_answer(backend: states.Backend) -> list[states.BrokenCall]:
+    """Return the calls that broke since the backend server's last answer.
 
-    Those that broke later than the first ones stay behind them: where something in
-    between takes connections for a backend server that is down, all calls break.
+    Calls that broke later stay behind earlier ones, since a proxy in between may accept
+    connections for a backend server that is down, and then all calls break.
     """
-    horizon = backend.answered_at - TOGETHER_MS
+    horizon = backend.answered_at - IN_FLIGHT_ANSWER_MS
     return [call for call in backend.broken_calls if call.broken_at >= horizon]
 
 
-def _note_end(state: states.State, out: states.Effects) -> None:
-    """Hold an end against what was under way; a planned one is no fault of it."""
+def _record_crash(state: states.State, out: states.Effects) -> None:
+    """Log a crash and record its requests, unless a planned stop was announced."""
     backend = state.backend
-    at_work = _under_way(state)
+    in_progress = _requests_in_progress(state)
     backend.broken_calls = []
     backend.crash_count += 1
-    told = " ".join(ids.fingerprint_text(request) for request in at_work[:TOLD])
+    fingerprints = " ".join(
+        ids.fingerprint_text(request)
+        for request in in_progress[:MAX_LOGGED_FINGERPRINTS]
+    )
     text = (
-        f"{backend.service} {backend.instance} ended with {len(at_work)} requests"
-        f" under way: {told}."
+        f"{backend.service} {backend.instance} crashed with {len(in_progress)} requests"
+        f" in progress: {fingerprints}."
     )
     operator_log.warn(out, "backend", text)
     if not backend.leaving:
-        quarantine.record_crash(state, at_work, out)
+        quarantine.record_crash(state, in_progress, out)
 
 
-def _under_way(state: states.State) -> list[ids.Fingerprint]:
-    """Return the requests that the backend server was at when it ended, each once."""
+def _requests_in_progress(state: states.State) -> list[ids.Fingerprint]:
+    """Return the requests that were in progress at the crash, without duplicates."""
     fingerprints = [call.fingerprint for call in state.backend.broken_calls]
     fingerprints += [
         hosted.metadata.fingerprint
         for hosted in state.hosted.values()
-        if hosted.state in _AT_WORK
+        if hosted.state in _IN_PROGRESS
     ]
-    return [found for found in dict.fromkeys(fingerprints) if found]
+    return [fingerprint for fingerprint in dict.fromkeys(fingerprints) if fingerprint]
--- a/src/gingerturn/internal/core/calls.py
+++ b/src/gingerturn/internal/core/calls.py
@@ -116,8 +116,8 @@
         arrivals.root_call(state, event, arrivals.UNROUTED),
         rule,
         out,
-        retry_after=workspaces.come_back_after(state, rule),
-        figures=workspaces.figures(state, rule),
+        retry_after=workspaces.retry_delay(state, rule),
+        figures=workspaces.decision_figures(state, rule),
     )
 
 
--- a/src/gingerturn/internal/core/cap_buckets.py
+++ b/src/gingerturn/internal/core/cap_buckets.py
@@ -1,8 +1,8 @@
-"""What a node itself may let pass of a workspace with a cap: a token bucket.
+"""Token buckets of the workspaces with a cap, at one node.
 
-Its rate is the node's lease from the keeper of caps (:mod:`.cap_keeper`). Without a
-lease it is the node's own part of the cap, one of as many as there are nodes, unless
-that is lent to a keeper at the time.
+A bucket fills at the rate that the cap allocator leased (:mod:`.cap_allocator`).
+Without a lease it fills by the node's own equal share of the cap, unless that share is
+delegated.
 """
 
 import math
@@ -11,30 +11,29 @@
 from gingerturn.internal import ids
 from gingerturn.internal.core import member_order, state as states
 
-DEMAND_REQUESTS = 4.0
-LEAST_HALF_LIFE_MS = 500.0
-MOST_HALF_LIFE_MS = 2_500.0
-"""Demand is a mean whose half-life is the time of so many requests, within these
-bounds: that many requests fewer or more than usual are no chance."""
+HALF_LIFE_REQUESTS = 4.0
+MIN_HALF_LIFE_MS = 500.0
+MAX_HALF_LIFE_MS = 2_500.0
+"""Demand is an exponentially weighted mean, whose half-life is the time in which this
+many requests arrive, within these bounds."""
 
 IDLE_MS = 3_000.0
-"""A bucket that nobody drew on for so long is no demand any more."""
+"""A bucket without requests for this long is dropped."""
 
-COME_BACK_MS = 500.0
-"""Where nothing says when there will be room: when a keeper that was lost has long been
-replaced."""
+DEFAULT_RETRY_DELAY_MS = 500.0
+"""Retry delay without a lease, by when a lost allocator has been replaced."""
 
 DEPTH_MS = 300.0
-"""A bucket holds what its lease lets in within this time, and one token more."""
+"""A bucket holds the tokens that its lease adds within this time, and one more."""
 
-LEAST_WAIT_MS = 100.0
-MOST_WAIT_MS = 10_000.0
-"""Callers of a workspace far above its cap come back within this time, however many
-were refused before them."""
+MIN_INTERVAL_MS = 100.0
+MAX_RETRY_DELAY_MS = 10_000.0
+"""Bounds on the retry delay; the lower one also bounds the interval over which demand
+is measured."""
 
 
 def bucket_of(state: states.State, workspace: str) -> states.Bucket:
-    """Return the bucket of a workspace."""
+    """Return the bucket of a workspace, creating it if needed."""
     buckets = state.caps.buckets
     bucket = buckets.get(workspace)
     if bucket is None:
@@ -44,7 +43,7 @@
 
 
 def take_token(state: states.State, cap: routes.Workspace) -> bool:
-    """Take a token, if there is one."""
+    """Take a token; return whether there was one."""
     bucket = bucket_of(state, cap.name)
     refill(state, bucket, cap)
     if bucket.tokens < 1.0:
@@ -54,36 +53,38 @@
 
 
 def return_token(state: states.State, workspace: str) -> None:
-    """Give the token of a request back that was certainly not run."""
+    """Return the token of a request that certainly did not run."""
     bucket = state.caps.buckets.get(workspace)
     if bucket is not None:
         bucket.tokens += 1.0
 
 
 def refill(state: states.State, bucket: states.Bucket, cap: routes.Workspace) -> None:
-    """Add what came in since the last time."""
+    """Add the tokens that accrued since the last refill."""
     now = state.now
-    leased = min(now, bucket.lease_until) - bucket.refilled_at
-    if leased > 0.0:
-        came_in = bucket.rate_milli * leased / 1e6
-        bucket.overflowed += _add(bucket, came_in, depth_of(bucket.rate_milli))
-    own_from = max(bucket.refilled_at, bucket.lease_until, state.caps.delegated_until)
-    if now > own_from:
-        part = cap.rate / member_order.cap_sharer_count(state)
-        _add(bucket, part * (now - own_from) / 1_000.0, 1.0)
+    leased_ms = min(now, bucket.lease_until) - bucket.refilled_at
+    if leased_ms > 0.0:
+        leased_tokens = bucket.rate_milli * leased_ms / 1e6
+        bucket.overflowed += _add(bucket, leased_tokens, depth_of(bucket.rate_milli))
+    own_share_from = max(
+        bucket.refilled_at, bucket.lease_until, state.caps.delegated_until
+    )
+    if now > own_share_from:
+        own_share = cap.rate / member_order.cap_sharer_count(state)
+        _add(bucket, own_share * (now - own_share_from) / 1_000.0, 1.0)
     bucket.refilled_at = now
 
 
 def depth_of(rate_milli: int) -> float:
-    """Return how many tokens a bucket holds that has a lease."""
+    """Return how many tokens a bucket with this lease can hold."""
     return 1.0 + rate_milli * DEPTH_MS / 1e6 if rate_milli else 0.0
 
 
 def _add(bucket: states.Bucket, tokens: float, depth: float) -> float:
-    """Add tokens, and return how many found the bucket full."""
-    room = max(0.0, depth - bucket.tokens)
-    bucket.tokens += min(tokens, room)
-    return max(0.0, tokens - room)
+    """Add tokens; return how many did not fit."""
+    free = max(0.0, depth - bucket.tokens)
+    bucket.tokens += min(tokens, free)
+    return max(0.0, tokens - free)
 
 
 def apply_lease(
@@ -95,51 +96,52 @@
     tokens: int,
     until: ids.Milliseconds,
 ) -> None:
-    """Let a bucket be filled by a lease from now on.
+    """Fill a bucket by a new lease from now on.
 
-    :param tokens: put into it at once.
+    :param tokens: tokens to add at once.
+    :param until: when the lease expires.
     """
     refill(state, bucket, cap)
-    over = max(0.0, bucket.tokens - depth_of(rate_milli))
-    bucket.overflowed += over
-    bucket.tokens += tokens - over
+    excess = max(0.0, bucket.tokens - depth_of(rate_milli))
+    bucket.overflowed += excess
+    bucket.tokens += tokens - excess
     bucket.rate_milli = rate_milli
     bucket.lease_until = max(bucket.lease_until, until)
 
 
 def record_demand(state: states.State, bucket: states.Bucket) -> float:
-    """Return requests a second that were asked for, up to now."""
+    """Update and return the demand, in requests per second."""
     elapsed = state.now - bucket.counted_from
     if elapsed <= 0.0:
         return bucket.demand
-    seen = bucket.request_count * 1_000.0 / max(elapsed, LEAST_WAIT_MS)
-    half_life = 1_000.0 * DEMAND_REQUESTS / max(bucket.demand, 1e-3)
-    half_life = max(LEAST_HALF_LIFE_MS, min(half_life, MOST_HALF_LIFE_MS))
-    kept = math.exp2(-elapsed / half_life)
-    if bucket.request_count >= DEMAND_REQUESTS and seen > 2.0 * bucket.demand:
-        # So many more than usual are no chance either.
-        kept = 0.0
-    bucket.demand = kept * bucket.demand + (1.0 - kept) * seen
+    observed = bucket.request_count * 1_000.0 / max(elapsed, MIN_INTERVAL_MS)
+    half_life = 1_000.0 * HALF_LIFE_REQUESTS / max(bucket.demand, 1e-3)
+    half_life = max(MIN_HALF_LIFE_MS, min(half_life, MAX_HALF_LIFE_MS))
+    weight = math.exp2(-elapsed / half_life)
+    if bucket.request_count >= HALF_LIFE_REQUESTS and observed > 2.0 * bucket.demand:
+        # Follow a sudden rise at once.
+        weight = 0.0
+    bucket.demand = weight * bucket.demand + (1.0 - weight) * observed
     bucket.request_count = 0
     bucket.counted_from = state.now
     return bucket.demand
 
 
 def retry_after_ms(state: states.State, cap: routes.Workspace) -> ids.Milliseconds:
-    """Return when a refused caller should come back, in ms.
+    """Return the retry delay for a refused caller, in ms.
 
-    Callers are given the tokens that will come in one after the other, so that they
-    return at the pace of the cap and not as a wave.
+    Each refused caller is assigned the next future token, so that retries arrive at the
+    rate of the cap instead of all at once.
     """
     bucket = bucket_of(state, cap.name)
     jitter = 1.0 + state.random.random() / 4.0
     if bucket.lease_until <= state.now or not bucket.rate_milli:
-        return COME_BACK_MS * jitter
+        return DEFAULT_RETRY_DELAY_MS * jitter
     token_ms = 1e6 / bucket.rate_milli
     first = state.now + (1.0 - bucket.tokens) * token_ms
     bucket.promised_token_at = max(first, bucket.promised_token_at + token_ms)
     wait = bucket.promised_token_at - state.now
-    if wait > MOST_WAIT_MS:
-        bucket.promised_token_at = state.now + MOST_WAIT_MS
-        return MOST_WAIT_MS / jitter
-    return max(LEAST_WAIT_MS, wait) * jitter
+    if wait > MAX_RETRY_DELAY_MS:
+        bucket.promised_token_at = state.now + MAX_RETRY_DELAY_MS
+        return MAX_RETRY_DELAY_MS / jitter
+    return max(MIN_INTERVAL_MS, wait) * jitter
--- a/src/gingerturn/internal/core/cap_window.py
+++ b/src/gingerturn/internal/core/cap_window.py
@@ -1,77 +1,76 @@
-"""What was let pass of a cap in the last window, counted in slices of time."""
+"""Sliding windows of the admitted requests of each workspace, in slices of time."""
 
 from gingerturn import routes
 from gingerturn.internal import ids
 from gingerturn.internal.core import messages, state as states
 
 SLICES = 20
-"""Of a window; what was used leaves it a twentieth at a time."""
+"""Number of slices in a window."""
 
 
 TOLERANCE_USED = 0.1
-"""Part of what operators let a cap be passed by that is let pass: a request refused
-below that is lost for nothing. The rest is for what buckets hold, for nodes that answer
-late and for moments in which a keeper is replaced."""
+"""Part of the allowed excess of a cap that is granted. The rest covers tokens held in
+buckets, late answers and changes of allocator."""
 
-MOST_UNSEEN = 6
-"""Slices without a word of any node after which its loan counts as lent all the while:
-a small deployment has few that could speak."""
+MAX_UNSEEN_SLICES = 6
+"""Longest gap without a request, in slices, over which the delegated share counts as
+unchanged. Small deployments send few requests."""
 
 
 def allowed(state: states.State, cap: routes.Workspace) -> float:
-    """Return how many requests a cap lets pass in a window."""
+    """Return how many requests a cap allows in a window."""
     tolerance = state.cap_tolerance
-    named = cap.rate * tolerance.window_ms / 1_000.0 + cap.burst
-    return named + TOLERANCE_USED * tolerance.allowed_excess(cap)
+    configured = cap.rate * tolerance.window_ms / 1_000.0 + cap.burst
+    return configured + TOLERANCE_USED * tolerance.allowed_excess(cap)
 
 
 def remaining(
     state: states.State, window: states.CapWindow, cap: routes.Workspace
 ) -> float:
-    """Return how many requests this node may still let be passed now."""
-    # The present slice has only begun, so that a whole one more belongs to the window.
-    oldest = slice_at(state) - SLICES
+    """Return how many requests this node may still grant now."""
+    # The current slice is incomplete, so the window includes one more slice.
+    oldest = current_slice(state) - SLICES
     for number in [n for n in window.slices if n < oldest]:
         del window.slices[number]
     total = allowed(state, cap)
     if window.total > total:
-        # What was let pass by a higher cap would leave nothing of the lower one.
+        # Usage under the previous, higher cap must not exhaust the lower one.
         for number in window.slices:
             window.slices[number] *= total / window.total
     window.total = total
     return total * state.cap_allocator.delegated_share - used(window)
 
 
-def record_share(state: states.State, lent: float) -> None:
-    """Take in which share of all caps is lent to this node at present.
+def record_share(state: states.State, current_share: float) -> None:
+    """Record the share of all caps that is currently delegated to this node.
 
-    It may give that share, but at most what it was lent in the mean of the window: what
-    others let pass by loans to them a moment ago still counts.
+    The share that it may grant is at most the mean over the window, since usage granted
+    by earlier allocators still counts.
     """
-    keeper = state.cap_allocator
-    now = slice_at(state)
-    shares = keeper.delegated_shares
+    allocator = state.cap_allocator
+    now = current_slice(state)
+    shares = allocator.delegated_shares
     for number in [n for n in shares if n < now - SLICES]:
         del shares[number]
     last = max(shares, default=now)
-    if now - last <= MOST_UNSEEN:
-        between = min(lent, shares.get(last, lent))
-        shares.update(dict.fromkeys(range(last + 1, now), between))
-    shares[now] = min(lent, shares.get(now, lent))
-    lately = sum(share for number, share in shares.items() if number < now)
-    keeper.delegated_share = min(lent, lately / SLICES)
+    if now - last <= MAX_UNSEEN_SLICES:
+        gap_share = min(current_share, shares.get(last, current_share))
+        shares.update(dict.fromkeys(range(last + 1, now), gap_share))
+    shares[now] = min(current_share, shares.get(now, current_share))
+    window_total = sum(share for number, share in shares.items() if number < now)
+    allocator.delegated_share = min(current_share, window_total / SLICES)
 
 
 def used(window: states.CapWindow) -> float:
-    """Return how many requests count as let pass in the window."""
+    """Return how many requests are charged to the window."""
     return sum(window.slices.values())
 
 
 def usage_of(
     state: states.State, workspace: str, window: states.CapWindow
 ) -> messages.CapUsage:
-    """Return what was let pass of a workspace, for the next keeper."""
-    now = slice_at(state)
+    """Return the usage of a workspace, for the next allocator."""
+    now = current_slice(state)
     first = min(window.slices, default=now)
     last = max(window.slices, default=now)
     milli = (
@@ -82,21 +81,21 @@
 
 
 def import_usage(state: states.State, message: messages.CapHandover) -> None:
-    """Go on with the windows of a keeper that stops, beside those of the own."""
-    keeper = state.cap_allocator
-    now = slice_at(state)
+    """Add the windows of an allocator that stops to those of this node."""
+    allocator = state.cap_allocator
+    now = current_slice(state)
     for number in range(now - SLICES, now):
-        own = keeper.delegated_shares.get(number, 0.0)
-        keeper.delegated_shares[number] = min(1.0, own + message.share)
-    for use in message.used:
-        window = keeper.windows.setdefault(use.workspace, states.CapWindow())
-        for index, milli in enumerate(use.slices_milli):
-            _add(window, now + use.first + index, milli / 1_000.0)
+        own = allocator.delegated_shares.get(number, 0.0)
+        allocator.delegated_shares[number] = min(1.0, own + message.share)
+    for usage in message.used:
+        window = allocator.windows.setdefault(usage.workspace, states.CapWindow())
+        for index, milli in enumerate(usage.slices_milli):
+            _add(window, now + usage.first + index, milli / 1_000.0)
 
 
 def prune(state: states.State) -> None:
-    """Drop the windows in which nothing was let pass."""
-    oldest = slice_at(state) - SLICES
+    """Drop windows without usage."""
+    oldest = current_slice(state) - SLICES
     windows = state.cap_allocator.windows
     for name, window in list(windows.items()):
         if max(window.slices, default=0) < oldest:
@@ -104,15 +103,15 @@
 
 
 def charge(state: states.State, window: states.CapWindow, requests: float) -> None:
-    """Count requests as let pass now."""
-    _add(window, slice_at(state), requests)
+    """Charge requests to the current slice."""
+    _add(window, current_slice(state), requests)
 
 
 def refund(state: states.State, window: states.CapWindow, requests: float) -> None:
-    """Count requests as not let pass that were counted some time ago.
+    """Refund requests that were charged earlier, from the oldest slices first.
 
-    From the oldest slices first. Taken from the present one, they would be missing
-    there when those in which they were counted have left the window.
+    Refunded from the current slice, they would still reduce it after the slices that
+    they were charged to have left the window.
     """
     for number in sorted(window.slices):
         if requests <= 0.0:
@@ -128,18 +127,18 @@
     rate_milli: int,
     until: ids.Milliseconds,
 ) -> None:
-    """Count what a lease lets pass from now on, each part when it comes in.
+    """Charge a lease to the slices in which its tokens accrue.
 
-    :param rate_milli: thousandths of a request a second; a negative number takes the
-        rest of a lease back.
+    :param rate_milli: thousandths of a request per second; negative to refund the rest
+        of a lease.
     """
-    width = _slice_ms(state)
-    begin = state.now
-    while begin < until:
-        number = int(begin / width)
-        end = min(until, (number + 1) * width)
-        _add(window, number, rate_milli * (end - begin) / 1e6)
-        begin = end
+    slice_ms = _slice_ms(state)
+    start = state.now
+    while start < until:
+        number = int(start / slice_ms)
+        end = min(until, (number + 1) * slice_ms)
+        _add(window, number, rate_milli * (end - start) / 1e6)
+        start = end
 
 
 def _add(window: states.CapWindow, number: int, requests: float) -> None:
@@ -150,6 +149,6 @@
     return state.cap_tolerance.window_ms / SLICES
 
 
-def slice_at(state: states.State) -> int:
-    """Return the number of the present slice."""
+def current_slice(state: states.State) -> int:
+    """Return the number of the current slice."""
     return int(state.now / _slice_ms(state))
--- a/src/gingerturn/internal/core/caps.py
+++ b/src/gingerturn/internal/core/caps.py
@@ -1,11 +1,11 @@
-"""What workspaces may use over all nodes, at the node that a caller sends to.
+"""Enforcement of workspace caps at the entry node.
 
-A request takes a token from the node's own bucket, so that none waits for another node
-as long as demand goes on as before. Where demand begins the node asks the keeper at
-once, and the request waits for that answer, some milliseconds.
+A request takes a token from a local bucket, which leases from the cap allocator
+refill, so steady demand needs no round trip. When demand rises, the node requests
+leases at once and the request waits a few milliseconds for the answer.
 
-Not chosen: equal parts of a cap at each node refuse most of what callers at few nodes
-may use; counting each request at the keeper adds its round trip to every request.
+Splitting each cap equally would refuse most requests of callers that use few nodes.
+Counting each request at the allocator would add a round trip to all of them.
 """
 
 import collections
@@ -29,178 +29,186 @@
 
 CHECK_MS = 100.0
 
-ASK_EVERY_MS = 400.0
-"""Twice within a term, so that one datagram may be lost."""
+RENEW_INTERVAL_MS = 400.0
+"""Leases are renewed twice within their term, so that one datagram may be lost."""
 
-ASK_AGAIN_MS = 100.0
-"""Pause until a question without an answer is put again. A keeper that is busy answers
-late; asked more often for it, it would answer later still."""
+RETRY_INTERVAL_MS = 100.0
+"""Interval at which an unanswered request is repeated. Shorter ones would add load to
+an allocator that is already busy."""
 
-ASK_AT_ONCE_MS = 10.0
-"""Pause between two questions for requests that wait: longer than an answer takes, so
-that those which come meanwhile are asked for together."""
+MIN_REQUEST_INTERVAL_MS = 10.0
+"""Interval between two requests on behalf of waiting calls. It exceeds the round trip,
+so that calls which arrive meanwhile share one request."""
 
-SILENT_MS = 400.0
-"""A keeper that has not answered for so long is passed over: not one that is busy for a
-moment, since each change costs some seconds in which less is let pass."""
+ANSWER_TIMEOUT_MS = 400.0
+"""An allocator that has not answered for this long is skipped. It tolerates a short
+overload, since each change of allocator reduces admission for some seconds."""
 
-NEVER_HEARD_MS = 190.0
-"""So is one sooner that has not answered the first: where a network is parted, half of
-those that could keep the caps are on the other side."""
+FIRST_ANSWER_TIMEOUT_MS = 190.0
+"""The same for an allocator that has never answered. It is shorter, since half of the
+candidates may be unreachable during a network partition."""
 
-OPEN_MS = 900.0
-"""An answer that takes longer is of no use: its leases have ended nearly."""
+REQUEST_EXPIRY_MS = 900.0
+"""Later answers are ignored: their leases have almost expired."""
 
-YOUNG_MS = 10_000.0
-"""A node that has just started takes itself for the keeper only if others do."""
+SELF_ELECTION_DELAY_MS = 10_000.0
+"""For this long after its start, a node becomes the allocator only if it has no other
+candidate or another node chose it."""
 
-LED_ASTRAY_MS = 500.0
-"""A node is not asked again for this long that led to one which does not answer."""
+BAD_REDIRECT_SKIP_MS = 500.0
+"""A node that redirected to an unusable allocator is skipped for this long."""
 
-PASSED_OVER_MS = 3_000.0
-"""A node that did not answer is not asked as keeper for this long."""
+SILENT_SKIP_MS = 3_000.0
+"""A node that did not answer is skipped for this long."""
 
-HOLD_MS = 300.0
-"""A request waits at most so long for a token; callers wait for seconds, but one that
-is refused soon can come back in time."""
+MAX_WAIT_MS = 300.0
+"""Longest wait of a call for a token. It is short, so that a refused caller can retry
+within its deadline."""
 
-HOLD_SETTLING_MS = 1_000.0
-"""The same right after a start, while nodes agree on a keeper: told to come back, a
-caller would wait as long."""
+MAX_STARTUP_WAIT_MS = 1_000.0
+"""The same right after a start, while nodes agree on an allocator. A retry would take
+as long."""
 
-MEET_MS = 500.0
-"""A node that has just started waits so long to hear from the members that the log
-lists. It would take itself for the keeper, and be bound to that for a term."""
+MEMBER_CONTACT_TIMEOUT_MS = 500.0
+"""Longest time after a start to wait for contact with the members listed on the log.
+Without it the node would choose itself and delegate its share to itself for a term."""
 
-MAX_HELD = 256
-"""Requests that wait at one node; there is no queue for a workspace that floods."""
+MAX_WAITING_CALLS = 256
+"""Calls that may wait at one node, which bounds the memory that a flood takes."""
 
-MAX_COUNTED = 200
-"""Workspaces that are counted one by one for the metrics, of a node's first ones."""
+MAX_COUNTED_WORKSPACES = 200
+"""Workspaces with counters of their own; the first ones that a node sees."""
 
-OTHERS = "(others)"
-"""Stands for all others; no name of a workspace, since these are sent in headers."""
+OTHER_WORKSPACES = "(others)"
+"""Label of the counters shared by all other workspaces. It is no valid name of a
+workspace, so it can't collide with one."""
 
-USES = 16
-"""Workspaces in one page of what a keeper leaves to the next, some 60 bytes each."""
+USAGES_PER_PAGE = 16
+"""Workspaces in one page of a handover, about 60 bytes each."""
 
-ENTRIES = 40
-"""Workspaces in one question: about 1,000 bytes, one packet."""
+DEMANDS_PER_REQUEST = 40
+"""Workspaces in one request, which fit into one packet of about 1,000 bytes."""
 
 
 def admit(state: states.State, call: states.Call, out: states.Effects) -> bool:
-    """Tell whether a whole request may begin now; if not, it waits or is refused."""
+    """Whether a call may begin now; otherwise it waits or is refused."""
     cap = _cap_of(state, call)
     if cap is None:
         if call.workspace:
-            _use_of(state, call.workspace).admitted += 1
+            _usage_of(state, call.workspace).admitted += 1
         return True
     bucket = cap_buckets.bucket_of(state, cap.name)
     bucket.request_count += 1
     bucket.last_request_at = state.now
-    if _draw(state, call, cap):
+    if _take_token(state, call, cap):
         return True
     leased = bucket.lease_until > state.now
-    if (leased and bucket.short) or len(state.caps.waiting_calls) >= MAX_HELD:
+    if (leased and bucket.short) or len(state.caps.waiting_calls) >= MAX_WAITING_CALLS:
         _refuse(state, call, cap, out)
         return False
-    wait = HOLD_SETTLING_MS if startup_waits.is_starting_up(state) else HOLD_MS
+    wait = MAX_STARTUP_WAIT_MS if startup_waits.is_starting_up(state) else MAX_WAIT_MS
     state.caps.waiting_calls[call.id] = state.now + wait
-    _ask_for_held(state, out)
+    _request_for_waiting(state, out)
     return False
 
 
 def check(state: states.State, now: ids.Milliseconds, out: states.Effects) -> None:
-    """Renew loan and leases, and end waits that are over."""
+    """Renew the delegation and leases, and end waits that have expired."""
     if not _has_caps(state) or not _knows_members(state):
         return
     caps = state.caps
     if state.stopping:
         _hand_over(state, out)
-    _give_up_silent(state)
-    pause = ASK_AGAIN_MS if caps.unanswered_since else ASK_EVERY_MS
+    _skip_silent_allocator(state)
+    pause = RETRY_INTERVAL_MS if caps.unanswered_since else RENEW_INTERVAL_MS
     if now - caps.renewed_at >= pause:
-        _drop_idle(state)
+        _drop_idle_buckets(state)
         cap_allocator.prune(state, now)
         request_leases(state, list(caps.buckets), out)
     admit_waiting(state, out)
-    _ask_for_held(state, out)
+    _request_for_waiting(state, out)
 
 
 def request_leases(state: states.State, names: list[str], out: states.Effects) -> None:
-    """Tell the keeper what is wanted here, and lend it the own parts.
+    """Report demand to the allocator, and delegate this node's share to it.
 
-    :param names: the workspaces to ask for.
+    :param names: the workspaces to request leases for.
     """
     caps = state.caps
-    _choose_keeper(state, out)
+    _choose_allocator(state, out)
     if len(names) == len(caps.buckets):
         caps.renewed_at = state.now
     caps.requested_at = state.now
     caps.unanswered_since = caps.unanswered_since or state.now
     demands = _demands(state, names)
-    for first in range(0, max(1, len(demands)), ENTRIES):
-        # One goes out in any case, for the loan.
-        _ask_page(state, tuple(demands[first : first + ENTRIES]), out)
+    for start in range(0, max(1, len(demands)), DEMANDS_PER_REQUEST):
+        # An empty request still renews the delegation.
+        _request_page(state, tuple(demands[start : start + DEMANDS_PER_REQUEST]), out)
 
 
-def _ask_page(
+def _request_page(
     state: states.State,
     demands: tuple[messages.CapDemand, ...],
     out: states.Effects,
 ) -> None:
     caps = state.caps
-    keeper = caps.allocator
-    lends = caps.stamp > 0.0 and _may_lend(state)
-    if lends:
-        caps.delegated_to = keeper
+    allocator = caps.allocator
+    delegates = caps.stamp > 0.0 and _may_delegate(state)
+    if delegates:
+        caps.delegated_to = allocator
         caps.delegated_until = state.now + cap_allocator.TERM_MS
     caps.request_number += 1
     caps.pending_requests[caps.request_number] = state.now
     message = messages.CapRequest(
         number=caps.request_number,
-        stamp=caps.stamp if lends else 0.0,
+        stamp=caps.stamp if delegates else 0.0,
         demands=demands,
     )
-    if keeper == state.node:
-        _take_answer(state, cap_allocator.grant(state, keeper, message))
+    if allocator == state.node:
+        _apply_answer(state, cap_allocator.grant(state, allocator, message))
     else:
-        _send(state, keeper, message, out)
+        _send(state, allocator, message, out)
 
 
-def _choose_keeper(state: states.State, out: states.Effects) -> None:
-    """Stay with a keeper as long as it answers; each change costs some seconds in which
-    less is let pass."""
+def _choose_allocator(state: states.State, out: states.Effects) -> None:
+    """Replace the allocator if it is skipped or no longer alive.
+
+    Each change reduces admission for some seconds, so one that answers is kept.
+    """
     caps = state.caps
-    passed_over = _passed_over(state)
-    known = caps.allocator
-    if not known or known in passed_over or not member_order.is_live(state, known):
-        if state.stopping or state.now - state.started_at < YOUNG_MS:
-            # The others may have a keeper already, and lead this node to it.
-            passed_over |= {state.node}
-        _follow(state, member_order.cap_allocator(state, passed_over=passed_over), out)
+    skipped = _skipped_nodes(state)
+    current = caps.allocator
+    if not current or current in skipped or not member_order.is_live(state, current):
+        if state.stopping or state.now - state.started_at < SELF_ELECTION_DELAY_MS:
+            # Other nodes may redirect this one to their allocator.
+            skipped |= {state.node}
+        _set_allocator(
+            state, member_order.cap_allocator(state, passed_over=skipped), out
+        )
     if caps.allocator == state.node:
         caps.stamp = state.now
 
 
-def _follow(state: states.State, keeper: ids.NodeId, out: states.Effects) -> None:
+def _set_allocator(
+    state: states.State, allocator: ids.NodeId, out: states.Effects
+) -> None:
     caps = state.caps
-    if keeper == caps.allocator:
+    if allocator == caps.allocator:
         return
-    before = f", no longer {caps.allocator}" if caps.allocator else ""
-    operator_log.info(out, "caps", f"{keeper} keeps the caps of workspaces{before}.")
-    caps.allocator = keeper
+    replaced = f" instead of {caps.allocator}" if caps.allocator else ""
+    operator_log.info(out, "caps", f"{allocator} is the cap allocator{replaced}.")
+    caps.allocator = allocator
     caps.stamp = 0.0
     caps.unanswered_since = 0.0
     caps.pending_requests.clear()
 
 
-def _ask_for_held(state: states.State, out: states.Effects) -> None:
-    """Ask at once for the workspaces whose requests wait."""
+def _request_for_waiting(state: states.State, out: states.Effects) -> None:
+    """Request leases for the workspaces of waiting calls."""
     caps = state.caps
     if not _knows_members(state):
         return
-    pause = ASK_AGAIN_MS if caps.unanswered_since else ASK_AT_ONCE_MS
+    pause = RETRY_INTERVAL_MS if caps.unanswered_since else MIN_REQUEST_INTERVAL_MS
     if not caps.waiting_calls or state.now - caps.requested_at < pause:
         return
     waiting = {
@@ -220,19 +228,20 @@
     message: messages.CapRequest,
     out: states.Effects,
 ) -> None:
-    """Answer a node that takes this one for the keeper."""
+    """Answer a node that considers this one the allocator."""
     caps = state.caps
-    silent = (
-        caps.unanswered_since and state.now - caps.unanswered_since > NEVER_HEARD_MS
+    timed_out = (
+        caps.unanswered_since
+        and state.now - caps.unanswered_since > FIRST_ANSWER_TIMEOUT_MS
     )
-    if silent and caps.allocator != state.node:
-        # Whoever asks may have found out before that it does not answer.
-        caps.skipped_nodes[caps.allocator] = state.now + PASSED_OVER_MS
-    _choose_keeper(state, out)
+    if timed_out and caps.allocator != state.node:
+        # The sender may have detected earlier that this allocator is silent.
+        caps.skipped_nodes[caps.allocator] = state.now + SILENT_SKIP_MS
+    _choose_allocator(state, out)
     if caps.allocator == state.node:
-        told = cap_allocator.grant(state, sender, message)
+        answer = cap_allocator.grant(state, sender, message)
     else:
-        told = messages.CapAnswer(
+        answer = messages.CapAnswer(
             number=message.number,
             stamp=0.0,
             leases=(),
@@ -243,7 +252,7 @@
         kind=messages.GossipKind.CAPS,
         sequence=0,
         revision=state.revisions.revision,
-        caps=told,
+        caps=answer,
     )
     out.append(effects.SendGossip(host=host, port=port, message=gossip))
 
@@ -254,44 +263,44 @@
     message: messages.CapAnswer,
     out: states.Effects,
 ) -> None:
-    """Take in the keeper's leases; requests that waited for them begin."""
+    """Apply the leases in an answer, and admit calls that waited for them."""
     caps = state.caps
     if sender != caps.allocator or message.number not in caps.pending_requests:
         return
     if message.allocator:
-        _on_led_on(state, message, out)
+        _on_redirect(state, message, out)
         return
-    first = caps.stamp == 0.0
-    _take_answer(state, message)
-    if first and _may_lend(state):
-        # The stamp is known now: without the loan there is nothing to be leased yet.
+    first_answer = caps.stamp == 0.0
+    _apply_answer(state, message)
+    if first_answer and _may_delegate(state):
+        # The share can be delegated only now that the stamp is known.
         request_leases(state, list(caps.buckets), out)
     admit_waiting(state, out)
-    # Some may have come after the question, and are not refused by its answer.
-    _ask_for_held(state, out)
+    # Calls that arrived after the request are not covered by this answer.
+    _request_for_waiting(state, out)
 
 
-def _on_led_on(
+def _on_redirect(
     state: states.State, message: messages.CapAnswer, out: states.Effects
 ) -> None:
-    """Ask another node, as the one asked tells that it does not keep the caps."""
+    """Follow a redirect to another allocator, if that one is usable."""
     caps = state.caps
-    keeper = ids.NodeId(message.allocator)
+    allocator = ids.NodeId(message.allocator)
     if message.released and caps.delegated_to == caps.allocator:
         caps.delegated_until = 0.0
-    unfit = keeper == state.node and state.stopping
+    is_self_stopping = allocator == state.node and state.stopping
     if (
-        unfit
-        or keeper in _passed_over(state)
-        or not member_order.is_live(state, keeper)
+        is_self_stopping
+        or allocator in _skipped_nodes(state)
+        or not member_order.is_live(state, allocator)
     ):
-        # It is known here for one that does not answer; so is who leads to it.
-        caps.skipped_nodes[caps.allocator] = state.now + LED_ASTRAY_MS
+        # Skip the redirecting node as well, since its target is unusable.
+        caps.skipped_nodes[caps.allocator] = state.now + BAD_REDIRECT_SKIP_MS
         caps.allocator = ids.NodeId("")
         return
-    _follow(state, keeper, out)
-    if state.now - caps.requested_at >= ASK_AT_ONCE_MS:
-        # Two that lead to one another would be asked in turn as fast as they answer.
+    _set_allocator(state, allocator, out)
+    if state.now - caps.requested_at >= MIN_REQUEST_INTERVAL_MS:
+        # Limits the rate of requests if two nodes redirect to each other.
         request_leases(state, list(caps.buckets), out)
 
 
@@ -301,101 +310,105 @@
     message: messages.CapHandover,
     out: states.Effects,
 ) -> None:
-    """Keep the caps from now on, where another node did that stops."""
+    """Take over as the allocator from a node that stops."""
     if state.stopping:
-        # The sender could not know. Who comes next can go on as well.
-        passed_over = _passed_over(state) | {state.node, sender}
-        successor = member_order.cap_allocator(state, passed_over=passed_over)
+        # The sender did not know that this node stops; forward it to the next one.
+        excluded = _skipped_nodes(state) | {state.node, sender}
+        successor = member_order.cap_allocator(state, passed_over=excluded)
         if successor != state.node:
             _send(state, successor, message, out)
         return
     cap_allocator.import_handover(state, message)
-    _follow(state, state.node, out)
+    _set_allocator(state, state.node, out)
 
 
 def _hand_over(state: states.State, out: states.Effects) -> None:
-    """Leave the caps to the next node, before this one stops."""
+    """Hand over to the next allocator before this node stops."""
     caps = state.caps
     if caps.handed_over or not state.cap_allocator.delegations:
         return
-    passed_over = _passed_over(state) | {state.node}
-    successor = member_order.cap_allocator(state, passed_over=passed_over)
+    excluded = _skipped_nodes(state) | {state.node}
+    successor = member_order.cap_allocator(state, passed_over=excluded)
     if successor == state.node:
         return
     caps.handed_over = True
-    whole = cap_allocator.export_handover(state)
-    for first in range(0, max(1, len(whole.used)), USES):
-        page = whole.used[first : first + USES]
-        share, loans = (whole.share, whole.delegations) if not first else (0.0, ())
-        message = messages.CapHandover(share, loans, page)
+    handover = cap_allocator.export_handover(state)
+    for start in range(0, max(1, len(handover.used)), USAGES_PER_PAGE):
+        page = handover.used[start : start + USAGES_PER_PAGE]
+        share, delegations = (
+            (handover.share, handover.delegations) if not start else (0.0, ())
+        )
+        message = messages.CapHandover(share, delegations, page)
         _send(state, successor, message, out)
-    _follow(state, successor, out)
+    _set_allocator(state, successor, out)
 
 
 def admit_waiting(state: states.State, out: states.Effects) -> None:
-    """Let requests begin that waited for a token, or refuse them."""
-    held = state.caps.waiting_calls
-    for call_id, until in list(held.items()):
+    """Begin waiting calls for which there is a token, and refuse expired ones."""
+    waiting = state.caps.waiting_calls
+    for call_id, expires_at in list(waiting.items()):
         call = state.calls.get(call_id)
         cap = None if call is None else _cap_of(state, call)
         if call is None:
-            del held[call_id]
-        elif cap is None or _draw(state, call, cap):
-            del held[call_id]
+            del waiting[call_id]
+        elif cap is None or _take_token(state, call, cap):
+            del waiting[call_id]
             sending.begin(state, call, out)
-        elif state.now >= until or _is_short(state, call, cap):
-            del held[call_id]
+        elif state.now >= expires_at or _is_short(state, call, cap):
+            del waiting[call_id]
             _refuse(state, call, cap, out)
 
 
-def _draw(state: states.State, call: states.Call, cap: routes.Workspace) -> bool:
-    """Take a token for a call, if there is one."""
+def _take_token(state: states.State, call: states.Call, cap: routes.Workspace) -> bool:
+    """Take a token for a call; return whether there was one."""
     if not cap_buckets.take_token(state, cap):
         return False
     call.took_cap_token = True
-    _use_of(state, cap.name).admitted += 1
+    _usage_of(state, cap.name).admitted += 1
     return True
 
 
-def _use_of(state: states.State, workspace: str) -> states.WorkspaceUsage:
-    """Return what is counted of a workspace; of those beyond the bound, together."""
-    use = state.caps.usage
-    if workspace not in use and len(use) >= MAX_COUNTED:
-        workspace = OTHERS
-    return use.setdefault(workspace, states.WorkspaceUsage())
+def _usage_of(state: states.State, workspace: str) -> states.WorkspaceUsage:
+    """Return the counters of a workspace, or those shared beyond the bound."""
+    usage = state.caps.usage
+    if workspace not in usage and len(usage) >= MAX_COUNTED_WORKSPACES:
+        workspace = OTHER_WORKSPACES
+    return usage.setdefault(workspace, states.WorkspaceUsage())
 
 
-def _take_answer(state: states.State, message: messages.CapAnswer) -> None:
+def _apply_answer(state: states.State, message: messages.CapAnswer) -> None:
     caps = state.caps
-    asked = caps.pending_requests.pop(message.number)
+    requested_at = caps.pending_requests.pop(message.number)
     caps.unanswered_since = 0.0
     caps.stamp = message.stamp
-    for leased in message.leases:
-        cap = None if state.routes is None else state.routes.workspace(leased.workspace)
+    for lease in message.leases:
+        cap = None if state.routes is None else state.routes.workspace(lease.workspace)
         if cap is None:
             continue
         bucket = cap_buckets.bucket_of(state, cap.name)
-        bucket.short = leased.short
+        bucket.short = lease.short
         bucket.short_reported_at = state.now
         cap_buckets.apply_lease(
             state,
             bucket,
             cap,
-            rate_milli=leased.rate_milli,
-            tokens=leased.tokens,
-            until=asked + cap_allocator.TERM_MS,
+            rate_milli=lease.rate_milli,
+            tokens=lease.tokens,
+            until=requested_at + cap_allocator.TERM_MS,
         )
 
 
-def _may_lend(state: states.State) -> bool:
+def _may_delegate(state: states.State) -> bool:
     caps = state.caps
     return caps.delegated_to == caps.allocator or caps.delegated_until <= state.now
 
 
 def _demands(state: states.State, names: list[str]) -> list[messages.CapDemand]:
-    held = (state.calls.get(call_id) for call_id in state.caps.waiting_calls)
-    needs = collections.Counter(call.workspace for call in held if call is not None)
-    found = []
+    waiting_calls = (state.calls.get(call_id) for call_id in state.caps.waiting_calls)
+    waiting_counts = collections.Counter(
+        call.workspace for call in waiting_calls if call is not None
+    )
+    demands = []
     for name in names:
         cap = None if state.routes is None else state.routes.workspace(name)
         bucket = state.caps.buckets.get(name)
@@ -403,17 +416,21 @@
             continue
         cap_buckets.refill(state, bucket, cap)
         rate = cap_buckets.record_demand(state, bucket)
-        lease = bucket.rate_milli if bucket.lease_until > state.now else 0
-        # Where callers are refused at once none wait, though there may be tokens.
-        need = max(
-            needs[ids.WorkspaceName(name)], int(bucket.short and bucket.tokens < 1.0)
+        leased_milli = bucket.rate_milli if bucket.lease_until > state.now else 0
+        # While the allocator is short, calls are refused at once and none wait, so
+        # request a token to detect when there are some again.
+        waiting = max(
+            waiting_counts[ids.WorkspaceName(name)],
+            int(bucket.short and bucket.tokens < 1.0),
         )
-        spilled = int(1_000.0 * bucket.overflowed)
-        bucket.overflowed -= spilled / 1_000.0
+        overflowed_milli = int(1_000.0 * bucket.overflowed)
+        bucket.overflowed -= overflowed_milli / 1_000.0
         rate_milli = int(1_000.0 * rate)
-        demand = messages.CapDemand(name, rate_milli, lease, need, spilled)
-        found.append(demand)
-    return found
+        demand = messages.CapDemand(
+            name, rate_milli, leased_milli, waiting, overflowed_milli
+        )
+        demands.append(demand)
+    return demands
 
 
 def _send(
@@ -436,27 +453,29 @@
     )
 
 
-def _give_up_silent(state: states.State) -> None:
-    """Pass a keeper over that does not answer."""
+def _skip_silent_allocator(state: states.State) -> None:
+    """Skip the allocator if it has not answered in time."""
     caps = state.caps
     for number in [
-        n for n, at in caps.pending_requests.items() if state.now - at > OPEN_MS
+        n
+        for n, at in caps.pending_requests.items()
+        if state.now - at > REQUEST_EXPIRY_MS
     ]:
         del caps.pending_requests[number]
-    patience = SILENT_MS if caps.stamp else NEVER_HEARD_MS
-    silent = caps.unanswered_since and state.now - caps.unanswered_since >= patience
-    if silent and caps.allocator != state.node:
-        caps.skipped_nodes[caps.allocator] = state.now + PASSED_OVER_MS
+    timeout = ANSWER_TIMEOUT_MS if caps.stamp else FIRST_ANSWER_TIMEOUT_MS
+    timed_out = caps.unanswered_since and state.now - caps.unanswered_since >= timeout
+    if timed_out and caps.allocator != state.node:
+        caps.skipped_nodes[caps.allocator] = state.now + SILENT_SKIP_MS
 
 
-def _passed_over(state: states.State) -> frozenset[ids.NodeId]:
-    known = state.caps.skipped_nodes
-    for node in [node for node, until in known.items() if until <= state.now]:
-        del known[node]
-    return frozenset(known)
+def _skipped_nodes(state: states.State) -> frozenset[ids.NodeId]:
+    skipped = state.caps.skipped_nodes
+    for node in [node for node, until in skipped.items() if until <= state.now]:
+        del skipped[node]
+    return frozenset(skipped)
 
 
-def _drop_idle(state: states.State) -> None:
+def _drop_idle_buckets(state: states.State) -> None:
     buckets = state.caps.buckets
     index = state.routes
     for name, bucket in list(buckets.items()):
@@ -466,15 +485,15 @@
 
 
 def _is_short(state: states.State, call: states.Call, cap: routes.Workspace) -> bool:
-    """Tell whether an answer since a call came left no hope for a token soon."""
+    """Whether an answer since the call arrived reported that no tokens are left."""
     bucket = cap_buckets.bucket_of(state, cap.name)
     return bucket.short and bucket.short_reported_at >= call.arrived_at
 
 
 def _knows_members(state: states.State) -> bool:
-    view = state.membership
-    met = view.members_listed and not view.uncontacted
-    return met or state.now - state.started_at > MEET_MS
+    membership = state.membership
+    all_contacted = membership.members_listed and not membership.uncontacted
+    return all_contacted or state.now - state.started_at > MEMBER_CONTACT_TIMEOUT_MS
 
 
 def _has_caps(state: states.State) -> bool:
@@ -482,7 +501,7 @@
 
 
 def _cap_of(state: states.State, call: states.Call) -> routes.Workspace | None:
-    """Return the workspace of a call, if there is a cap on it."""
+    """Return the workspace of a call if it has a cap."""
     if not call.workspace or state.routes is None:
         return None
     workspace = state.routes.workspace(call.workspace)
@@ -495,7 +514,7 @@
     cap: routes.Workspace,
     out: states.Effects,
 ) -> None:
-    _use_of(state, cap.name).refused += 1
+    _usage_of(state, cap.name).refused += 1
     bucket = cap_buckets.bucket_of(state, cap.name)
     wait = cap_buckets.retry_after_ms(state, cap)
     refusals.refuse(
--- a/src/gingerturn/internal/core/crash_attribution.py
+++ b/src/gingerturn/internal/core/crash_attribution.py
@@ -1,6 +1,6 @@
-"""Which requests are to blame for the ends of backend servers.
+"""Attribution of backend server crashes to requests.
 
-Pure functions over what a node knows: nodes that heard the same come to the same.
+The functions are pure, so nodes with the same data come to the same result.
 """
 
 import collections
@@ -9,15 +9,14 @@
 from gingerturn.internal.core import state as states
 
 CRASHES_TO_QUARANTINE = 3
-"""Two backend servers may end under a harmless request: it was under way when the first
-one ended, was sent on, and met the same cause again. Each end more costs all requests
-that are under way there."""
+"""A harmless request may be in progress in two related crashes, as it is retried on
+another backend server after the first one."""
 
 
 class SharedCrash:
-    """One end with the requests that it may be held against.
+    """A crash and the requests that may have caused it.
 
-    :param at: when it was.
+    :param at: when it happened.
     """
 
     def __init__(self, at: ids.Milliseconds) -> None:
@@ -25,43 +24,55 @@
         self.requests: set[int] = set()
 
 
-def shared_crashes(known: states.Quarantine) -> dict[str, SharedCrash]:
-    """Return the ends with what is left to be held against: what was not cleared
-    since. The parts in which one was told come together."""
-    ends: dict[str, SharedCrash] = {}
-    for id_, end in known.crashes.items():
-        whole = ends.setdefault(id_.rpartition("/")[0], SharedCrash(end.crashed_at))
-        whole.requests.update(
+def shared_crashes(quarantine: states.Quarantine) -> dict[str, SharedCrash]:
+    """Return the known crashes with the requests that were not cleared since.
+
+    The parts of one crash report are merged.
+    """
+    crashes: dict[str, SharedCrash] = {}
+    for id_, crash in quarantine.crashes.items():
+        shared = crashes.setdefault(
+            id_.rpartition("/")[0], SharedCrash(crash.crashed_at)
+        )
+        shared.requests.update(
             request
-            for request in end.requests
-            if known.cleared_at.get(request, 0.0) < end.crashed_at
+            for request in crash.requests
+            if quarantine.cleared_at.get(request, 0.0) < crash.crashed_at
         )
-    return ends
+    return crashes
 
 
 def attribute_crashes(
-    ends: dict[str, SharedCrash],
+    crashes: dict[str, SharedCrash],
 ) -> dict[int, states.QuarantineEntry]:
-    """Return the requests that explain the ends, those that explain most first.
+    """Return the requests to which crashes are attributed, by number of crashes.
 
-    A harmless request that was sent on from one of these ends to the next is under
-    way in some of them too; the one that all have in common leaves it none.
+    Each crash is attributed to the requests that share the most crashes. A harmless
+    request that was retried after some of these crashes is thereby left with none.
     """
-    blamed: dict[int, states.QuarantineEntry] = {}
-    left = list(ends.values())
-    while left:
-        counts = collections.Counter(r for end in left for r in end.requests)
-        most = max(counts.values(), default=0)
-        if most < CRASHES_TO_QUARANTINE:
+    entries: dict[int, states.QuarantineEntry] = {}
+    unexplained = list(crashes.values())
+    while unexplained:
+        counts = collections.Counter(
+            fingerprint for crash in unexplained for fingerprint in crash.requests
+        )
+        highest = max(counts.values(), default=0)
+        if highest < CRASHES_TO_QUARANTINE:
             break
-        worst = {request for request, times in counts.items() if times == most}
-        for request in worst:
-            at = max(end.at for end in left if request in end.requests)
-            blamed[request] = states.QuarantineEntry(crash_count=most, last_crash_at=at)
-        left = [end for end in left if not end.requests & worst]
-    return blamed
+        attributed = {request for request, count in counts.items() if count == highest}
+        for request in attributed:
+            last_crash_at = max(
+                crash.at for crash in unexplained if request in crash.requests
+            )
+            entries[request] = states.QuarantineEntry(
+                crash_count=highest, last_crash_at=last_crash_at
+            )
+        unexplained = [
+            crash for crash in unexplained if not crash.requests & attributed
+        ]
+    return entries
 
 
-def crash_count(ends: dict[str, SharedCrash], request: int) -> int:
-    """Return in how many ends a request was under way."""
-    return sum(1 for end in ends.values() if request in end.requests)
+def crash_count(crashes: dict[str, SharedCrash], request: int) -> int:
+    """Return in how many crashes a request was in progress."""
+    return sum(1 for crash in crashes.values() if request in crash.requests)
--- a/src/gingerturn/internal/core/freshness_renewal.py
+++ b/src/gingerturn/internal/core/freshness_renewal.py
@@ -1,10 +1,11 @@
-"""How a node renews its evidence that its route table is the newest.
+"""Renewal of the evidence that the route table is current.
 
-One node, the first of all by its place, reads the log each second. The first of each
-availability zone asks it, others ask the one above them in a tree of their zone, and
-who gets no answer young enough reads the log itself. Were each node to read, calls on
-the log would grow with the number of nodes; were members to be asked at random, the
-last of 24 would often hear too late.
+The first node reads the log each second, the first node of each availability zone
+queries it, and other nodes query their parent in a tree of their zone. A node that gets
+no recent answer reads the log itself.
+
+Thereby the load on the log does not grow with the number of nodes, and the age of the
+evidence is bounded by the depth of the tree.
 """
 
 from gingerturn.internal import ids
@@ -20,91 +21,103 @@
 )
 
 CHECK_MS = 100.0
-"""How often a node looks at the age of its evidence."""
+"""Interval between checks of the age of the evidence."""
 
-HOLD_MS = 1_000
-"""How long the first node lets the log hold a read open for news."""
+LONG_POLL_MS = 1_000
+"""How long the log holds a read of the first node open."""
 
-ASK_FROM_MS = 900.0
-"""Evidence of this age is renewed: the first node's own is this old half the time."""
+QUERY_AGE_MS = 900.0
+"""Evidence is renewed by a query from this age on."""
 
-ASK_EVERY_MS = 400.0
-"""Pause between two questions. Below a head of a zone are at most three more levels at
-525 nodes a zone; each adds this much to the age at the worst."""
+QUERY_INTERVAL_MS = 400.0
+"""Interval between two queries. Each level of the tree adds up to this much to the age;
+a zone of 525 nodes has three levels below its first node."""
 
-READ_FROM_MS = 2_200.0
-"""The heads of zones read the log themselves from this age on: what the others know
-comes from them."""
+READ_AGE_MS = 2_200.0
+"""Age from which the first nodes of zones read the log; all others depend on them."""
 
-LAST_READ_FROM_MS = 3_000.0
-"""Any other node does from this age on. At the design size the evidence of the farthest
-node is this old when nothing is wrong."""
+FALLBACK_READ_AGE_MS = 3_000.0
+"""Age from which any other node reads the log. In a deployment of the largest supported
+size the evidence of the deepest nodes reaches this age in normal operation."""
 
-READ_EVERY_MS = 700.0
-"""Pause, before a random part, between two such reads of one node."""
+READ_INTERVAL_MS = 700.0
+"""Interval between two such reads of one node, before jitter."""
 
 
 def check(state: states.State, now: ids.Milliseconds, out: states.Effects) -> None:
-    """Renew the evidence before it is too old."""
-    known = state.freshness
+    """Renew the evidence before it is too old, and log when keys are refused."""
+    freshness_state = state.freshness
     if not freshness.is_bounded(state) or state.stopping:
         return
-    old = freshness.age(state)
-    _tell(state, old, out)
-    if old < ASK_FROM_MS:
+    age = freshness.age(state)
+    _log_change(state, age, out)
+    if age < QUERY_AGE_MS:
         return
-    if now - known.queried_at >= ASK_EVERY_MS:
-        _ask(state, out)
-    head = member_order.parent(state) is None or member_order.is_zone_first(state)
-    if old >= (READ_FROM_MS if head else LAST_READ_FROM_MS):
-        _read(state, out)
-
-
-def _tell(state: states.State, old: ids.Milliseconds, out: states.Effects) -> None:
-    """Write when keys cease to be let in, and when they are again."""
-    known = state.freshness
-    stale = freshness.is_stale(state)
-    if stale == known.closed_logged:
+    if now - freshness_state.queried_at >= QUERY_INTERVAL_MS:
+        _query_member(state, out)
+    reads_early = member_order.parent(state) is None or member_order.is_zone_first(
+        state
+    )
+    if age >= (READ_AGE_MS if reads_early else FALLBACK_READ_AGE_MS):
+        _read_log(state, out)
+
+
+def _log_change(
+    state: states.State, age: ids.Milliseconds, out: states.Effects
+) -> None:
+    """Log when keys begin to be refused, and when they are accepted again."""
+    freshness_state = state.freshness
+    is_stale = freshness.is_stale(state)
+    if is_stale == freshness_state.closed_logged:
         return
-    known.closed_logged = stale
-    if stale:
-        text = f"Nothing tells for {old:.0f} ms that keys still hold; none is let in."
+    freshness_state.closed_logged = is_stale
+    if is_stale:
+        text = f"Route table not verified for {age:.0f} ms; refusing API keys."
         operator_log.warn(out, "keys", text)
     else:
-        operator_log.info(out, "keys", "Keys are let in again.")
+        operator_log.info(
+            out, "keys", "Route table verified; accepting API keys again."
+        )
 
 
 def on_read_ended(state: states.State) -> None:
-    """Take in that an extra read was answered, or failed."""
-    known = state.freshness
-    known.extra_read_pending = False
-    pause = READ_EVERY_MS * (1.0 + state.random.random())
-    known.next_read_at = state.now + pause
-
-
-def _ask(state: states.State, out: states.Effects) -> None:
-    """Ask the node above, and by turns any other, as the one above may be cut off."""
-    known = state.freshness
-    known.queried_at = state.now
-    known.query_count += 1
+    """Schedule the next extra read after one was answered or failed."""
+    freshness_state = state.freshness
+    freshness_state.extra_read_pending = False
+    pause = READ_INTERVAL_MS * (1.0 + state.random.random())
+    freshness_state.next_read_at = state.now + pause
+
+
+def _query_member(state: states.State, out: states.Effects) -> None:
+    """Query the parent, or every second time a random member if the evidence is old,
+    since the parent may be partitioned too."""
+    freshness_state = state.freshness
+    freshness_state.queried_at = state.now
+    freshness_state.query_count += 1
     node = member_order.parent(state)
-    if node is None or (freshness.age(state) > READ_FROM_MS and known.query_count % 2):
+    if node is None or (
+        freshness.age(state) > READ_AGE_MS and freshness_state.query_count % 2
+    ):
         others = member_table.random_members(state, 1)
         node = others[0] if others else None
     if node is not None:
         membership.ping(state, node, out, track=True)
 
 
-def _read(state: states.State, out: states.Effects) -> None:
+def _read_log(state: states.State, out: states.Effects) -> None:
     stream = state.streams.get(streams.ROUTES)
-    known = state.freshness
-    if stream is None or known.extra_read_pending or state.now < known.next_read_at:
+    freshness_state = state.freshness
+    if (
+        stream is None
+        or freshness_state.extra_read_pending
+        or state.now < freshness_state.next_read_at
+    ):
         return
     if not stream.caught_up:
-        # Nothing was read since the log was restored from a backup, or since the start.
+        # Nothing was read since the start, or since the log was restored from a backup.
         streams.reread(state, streams.ROUTES)
         return
-    known.extra_read_pending = True
+    freshness_state.extra_read_pending = True
     out.append(
         effects.ReadLog(
             stream=streams.ROUTES,
--- a/src/gingerturn/internal/core/hosting.py
+++ b/src/gingerturn/internal/core/hosting.py
@@ -356,7 +356,7 @@
         return
     entry = state.keys.get(hosted.metadata.key)
     if entry is None and hosted.metadata.ticket:
-        entry = keys.own(state, hosted.metadata.key)
+        entry = keys.register_ticket(state, hosted.metadata.key)
     if entry is not None and _settled(state, hosted, entry, out):
         return
     if not keys.claims_usable(state) or not keys.covered(state, hosted):
--- a/src/gingerturn/internal/core/keys.py
+++ b/src/gingerturn/internal/core/keys.py
@@ -1,8 +1,7 @@
-"""Keys of unrepeatable calls: the table behind "at most once".
+"""Idempotency keys of unrepeatable calls, which run at most once.
 
-Whoever's claim comes first in the log's order may run the call; nobody else
-ever does. A lease could not promise this, since its holder may pause and wake
-after the lease has passed to another.
+Only the node whose claim comes first on the log may run the call. Leases would not
+guarantee this, since a paused holder may resume after its lease has expired.
 """
 
 import hashlib
@@ -12,37 +11,36 @@
 from gingerturn.internal.core import messages, state as states
 
 KEY_WINDOW_MS = 900_000.0
-"""A key counts for 15 minutes from the time in it. Longer than any deadline (10
-minutes); at 30 claims a second of one service 27,000 keys, about 10 MB. The
-stream of claims has to be retained for at least twice as long."""
+"""A key is valid for this long after the time in it, which is longer than any deadline
+(10 minutes). The stream of claims must be retained for at least twice as long."""
 
 CLOCK_SKEW_MS = 60_000.0
 CLAIM_WAIT_MS = 2_000.0
-"""A claim not confirmed within 2 s means that the log is down or slow; the call
-gives its slot back instead of holding it until its deadline."""
+"""A call whose claim is not confirmed within this time releases its slot, as the log is
+unavailable or slow."""
 
 STALE_STREAM_MS = 5_000.0
-"""Without a successful read for 5 s no claim could be confirmed: refuse at once."""
+"""Calls are refused at once if the last successful read is older than this."""
 
-MAX_KEPT = 512
-"""Answers kept for repeats; of at most 64 kB each by the shell's bound."""
+MAX_STORED_ANSWERS = 512
+"""Stored answers; the shell bounds each to 64 kB."""
 
 
 def stream_name(service: ids.ServiceName) -> str:
-    """Return the stream that holds a service's claims."""
+    """Return the name of the stream of a service's claims."""
     return f"claims.{service}"
 
 
 def key_in_window(key: str, now: ids.Milliseconds) -> bool:
-    """Tell whether a caller's key is a UUIDv7 whose time the log still covers."""
-    minted = issued_at(key)
-    if minted is None:
+    """Whether a key is a UUIDv7 whose time is within the key window."""
+    issued = issued_at(key)
+    if issued is None:
         return False
-    return now - KEY_WINDOW_MS <= minted <= now + CLOCK_SKEW_MS
+    return now - KEY_WINDOW_MS <= issued <= now + CLOCK_SKEW_MS
 
 
 def issued_at(key: str) -> ids.Milliseconds | None:
-    """Return the time in a UUIDv7 (RFC 9562), or ``None`` for other text."""
+    """Return the time in a UUIDv7 (RFC 9562), or ``None`` for any other text."""
     try:
         parsed = uuid.UUID(key)
     except ValueError:
@@ -53,7 +51,7 @@
 
 
 def preferred_node(key: str, nodes: list[ids.NodeId]) -> ids.NodeId:
-    """Return the node at which sendings of a key meet (rendezvous hashing)."""
+    """Return the node to which all attempts of a key are sent (rendezvous hashing)."""
 
     def weight(node: ids.NodeId) -> bytes:
         return hashlib.blake2b(f"{key} {node}".encode(), digest_size=8).digest()
@@ -62,12 +60,12 @@
 
 
 def own_name(state: states.State) -> str:
-    """Return the name under which this incarnation claims."""
+    """Return the name of this incarnation in claim records."""
     return f"{state.node}/{state.incarnation}"
 
 
 def claims_usable(state: states.State) -> bool:
-    """Tell whether a claim could be confirmed on the log at present."""
+    """Whether the log can currently confirm a claim."""
     stream = state.streams.get(stream_name(state.backend.service))
     if stream is None or not stream.caught_up:
         return False
@@ -75,16 +73,16 @@
 
 
 def covered(state: states.State, hosted: states.Hosted) -> bool:
-    """Tell whether this node has read every claim that could be of this key."""
+    """Whether this node has read every claim that could be for this key."""
     stream = state.streams.get(stream_name(state.backend.service))
     if hosted.metadata.key_derived:
-        # It tells no time, but is not used for longer than its whole request lasts.
+        # A derived key contains no time, but is used no longer than its root request.
         since = 0.0 if stream is None else stream.covered_from
         return not since or state.now - _longest_request_ms(state) >= since
-    minted = issued_at(hosted.metadata.key)
-    if stream is None or minted is None:
+    issued = issued_at(hosted.metadata.key)
+    if stream is None or issued is None:
         return False
-    return minted >= stream.covered_from
+    return issued >= stream.covered_from
 
 
 def _longest_request_ms(state: states.State) -> ids.Milliseconds:
@@ -93,10 +91,10 @@
 
 
 def attach(state: states.State, hosted: states.Hosted) -> states.KeyEntry:
-    """Make a call the one that will run its key, and claim it on the log.
+    """Attach a call to its key, and claim the key on the log.
 
-    An entry that an earlier call left behind keeps its claim's id, so that its
-    record may stand on the log twice without harm.
+    The entry of an earlier call keeps its claim id, so that a duplicate record on the
+    log has no effect.
     """
     key = hosted.metadata.key
     entry = state.keys.get(key)
@@ -118,8 +116,8 @@
     return entry
 
 
-def own(state: states.State, key: str) -> states.KeyEntry:
-    """Remember a ticket of this node; it needs no claim, as no one else may run it."""
+def register_ticket(state: states.State, key: str) -> states.KeyEntry:
+    """Add the key of a ticket of this node, which needs no claim."""
     entry = states.KeyEntry(
         key=key, phase=states.KeyPhase.OURS_IDLE, since=state.now, waiters=[]
     )
@@ -128,37 +126,48 @@
 
 
 def detach(state: states.State, hosted: states.Hosted) -> None:
-    """Part a call from its key before it ran; the claim may still be won."""
+    """Detach a call that did not run from its key; its claim may still be first."""
     entry = state.keys.get(hosted.metadata.key)
     if entry is not None and entry.hosted == hosted.id:
         entry.hosted = None
 
 
 def mark_running(entry: states.KeyEntry) -> None:
-    """Enter the phase in which alone a call of the key is handed over."""
+    """Enter the only phase in which a call of the key is dispatched.
+
+    :raises AssertionError: from a phase in which this node may not run the key.
+    """
     if entry.phase not in {states.KeyPhase.CLAIMING, states.KeyPhase.OURS_IDLE}:
-        raise AssertionError(f"key {entry.key} may not run from {entry.phase}")
+        raise AssertionError(
+            f"key {entry.key} cannot start to run in phase {entry.phase}"
+        )
     entry.phase = states.KeyPhase.OURS_RUNNING
 
 
 def mark_not_dispatched(entry: states.KeyEntry) -> None:
-    """Go back to a won claim: not one byte reached the backend server."""
+    """Return to an owned, idle key: no byte reached the backend server."""
     entry.phase = states.KeyPhase.OURS_IDLE
     entry.hosted = None
 
 
-def mark_done(entry: states.KeyEntry, *, kept: bool, certain: bool) -> None:
-    """Enter the last phase."""
+def mark_done(
+    entry: states.KeyEntry, *, answer_stored: bool, outcome_known: bool
+) -> None:
+    """Enter the final phase.
+
+    :param answer_stored: the answer is kept for repeats of the key.
+    :param outcome_known: the run ended with an answer.
+    """
     entry.phase = states.KeyPhase.OURS_DONE
     entry.hosted = None
-    entry.answer_stored = kept
-    entry.outcome_known = certain
+    entry.answer_stored = answer_stored
+    entry.outcome_known = outcome_known
 
 
 def prune(state: states.State, now: ids.Milliseconds) -> list[str]:
     """Drop keys outside the window.
 
-    :return: keys whose kept answers are to be dropped.
+    :return: keys whose stored answers are to be dropped.
     """
     horizon = now - KEY_WINDOW_MS - CLOCK_SKEW_MS
     old = [
@@ -169,8 +178,8 @@
     dropped = [key for key in old if state.keys[key].answer_stored]
     for key in old:
         del state.keys[key]
-    kept = [entry for entry in state.keys.values() if entry.answer_stored]
-    for entry in kept[: max(0, len(kept) - MAX_KEPT)]:
+    stored = [entry for entry in state.keys.values() if entry.answer_stored]
+    for entry in stored[: max(0, len(stored) - MAX_STORED_ANSWERS)]:
         entry.answer_stored = False
         dropped.append(entry.key)
     return dropped
--- a/src/gingerturn/internal/core/pause_detection.py
+++ b/src/gingerturn/internal/core/pause_detection.py
@@ -1,35 +1,34 @@
-"""A node that stood still: its process was stopped, or its machine suspended.
+"""Detection of process pauses, for example by SIGSTOP or a suspended machine.
 
-What others said meanwhile lies unread in its sockets, or was lost; either way their
-silence proves nothing. So waits for others begin anew, while deadlines of callers,
-who did not stand still, have passed.
+Messages that arrived during a pause are unread or lost, so the silence of other nodes
+is no evidence. Timeouts for them restart, while the deadlines of callers keep running.
 """
 
 from gingerturn.internal import ids
 from gingerturn.internal.core import operator_log, state as states
 
-STOOD_STILL_MS = 500.0
-"""Ticks are due each 100 ms at the latest. One that comes later by several of them was
-held up; no wait for others that begins anew is shorter than 700 ms."""
+PAUSE_THRESHOLD_MS = 500.0
+"""A longer interval between ticks is a pause. Ticks are due every 100 ms, and the
+shortest timeout that restarts is 700 ms."""
 
 
 def check(
     state: states.State, now: ids.Milliseconds, out: states.Effects
 ) -> ids.Milliseconds:
-    """Let waits for others begin anew after a standstill.
+    """Restart the timeouts for other nodes after a pause.
 
-    :return: how long it was; 0 where there was none.
+    :return: the length of the pause in ms; 0 without one.
     """
     elapsed = now - state.last_tick_at if state.last_tick_at else 0.0
     state.last_tick_at = now
-    if elapsed < STOOD_STILL_MS:
+    if elapsed < PAUSE_THRESHOLD_MS:
         return 0.0
     membership = state.membership
-    for probed in membership.probes.values():
-        probed.timeout_base = now
+    for probe in membership.probes.values():
+        probe.timeout_base = now
     for node in membership.suspected:
         membership.suspected[node] = now
-    # The backend server beside it could not be heard either.
+    # Heartbeats of the backend server were not received either.
     state.backend.expires_at += elapsed
-    operator_log.warn(out, "node", f"This node stood still for {elapsed:.0f} ms.")
+    operator_log.warn(out, "node", f"Process was paused for {elapsed:.0f} ms.")
     return elapsed
--- a/src/gingerturn/internal/core/pollers.py
+++ b/src/gingerturn/internal/core/pollers.py
@@ -61,7 +61,9 @@
     """
     if not member_order.is_first(state):
         return 0
-    return freshness_renewal.HOLD_MS if freshness.is_bounded(state) else FIRST_HOLD_MS
+    return (
+        freshness_renewal.LONG_POLL_MS if freshness.is_bounded(state) else FIRST_HOLD_MS
+    )
 
 
 def is_poller(state: states.State, now: ids.Milliseconds) -> bool:
--- a/src/gingerturn/internal/core/quarantine.py
+++ b/src/gingerturn/internal/core/quarantine.py
@@ -1,15 +1,14 @@
-"""Requests that end the backend servers which run them, and are kept out for it.
-
-A node beside a backend server that ended by itself tells all others which requests were
-under way there, by their fingerprints (:mod:`.quarantine_news`). Each node works out
-from all such ends what they have in common: the request that most of them share is to
-blame, and explains those ends, so that nothing else is blamed for them
-(:mod:`.blame`). One that is to blame for three is sent nowhere any more: entry nodes
-refuse it before any work, homes do so for entry nodes that have not heard of it.
-
-A request that ran to an answer is no such request, whatever it was under way in
-before: what is popular shows that by itself, many times a second. What is kept out
-shows it by a trial, at one home, after a pause that grows with each end.
+"""Quarantine of requests that crash backend servers.
+
+When a backend server crashes, its node gossips the fingerprints of the requests that
+were in progress (:mod:`.quarantine_gossip`). Each node attributes the known crashes to
+the requests that they share (:mod:`.crash_attribution`). A request to which three
+crashes are attributed is quarantined: entry nodes refuse it before any work, and home
+nodes refuse it from entry nodes that do not know of it yet.
+
+A request that completes with an answer is cleared of earlier crashes, so popular
+requests are not quarantined. A quarantined request is retried by one home node, after a
+pause that grows with each crash.
 """
 
 import collections.abc
@@ -28,208 +27,214 @@
 )
 
 TRIAL_PAUSE_MS = 30_000.0
-TRIAL_FACTOR = 4.0
+TRIAL_PAUSE_FACTOR = 4.0
 MAX_TRIAL_PAUSE_MS = 3_600_000.0
-"""A request that is kept out is tried after 30 s, once: so long is a harmless one kept
-out by mistake. Each end more makes the pause four times as long, up to an hour, so that
-a deadly one costs two backend servers more in its first ten minutes, and in the end one
-in each hour in which it comes."""
+"""A quarantined request is tried again after this pause, which grows by the factor with
+each further crash, up to the maximum. The first pause bounds how long a harmless
+request is refused, and the last one how often a crashing request reaches a backend
+server."""
 
-REQUESTS_AN_END = 32
-"""An end is told in messages of up to 32 requests, 6 bytes each, so that a datagram
-stays within one packet."""
+REQUESTS_PER_MESSAGE = 32
+"""Requests of a crash in one message, 6 bytes each, so that a datagram fits into one
+packet."""
 
-MAX_REQUESTS = 4 * REQUESTS_AN_END
-"""Of more under way than fit into four messages some are left out at random."""
+MAX_REQUESTS = 4 * REQUESTS_PER_MESSAGE
+"""Requests reported per crash; if more were in progress, a random sample is."""
 
-RUNS_KEPT = 4_096
-"""Requests that ran to an answer here lately, half a minute of them at the design size.
-What is under way in many backend servers at once is among them."""
+MAX_RECENT_RUNS = 4_096
+"""Requests remembered as recently completed at this node, which are no suspects when
+its backend server crashes."""
 
 
 def record_crash(
     state: states.State, requests: collections.abc.Sequence[int], out: states.Effects
 ) -> None:
-    """Take in that the backend server beside this node ended by itself.
+    """Record a crash of the backend server of this node.
 
-    :param requests: what was under way there.
+    :param requests: fingerprints of the requests that were in progress.
     """
-    known = state.quarantine
-    suspects = [found for found in requests if found not in known.recent_runs]
-    for found in requests:
-        # It may have become deadly since; the next run here tells anew.
-        known.recent_runs.pop(found, None)
+    quarantine = state.quarantine
+    suspects = [
+        request for request in requests if request not in quarantine.recent_runs
+    ]
+    for request in requests:
+        # The request may behave differently now; only a new run clears it again.
+        quarantine.recent_runs.pop(request, None)
     if len(suspects) > MAX_REQUESTS:
-        recurring = [found for found in suspects if found in known.suspects]
-        others = [found for found in suspects if found not in known.suspects]
+        recurring = [request for request in suspects if request in quarantine.suspects]
+        others = [request for request in suspects if request not in quarantine.suspects]
         suspects = [*recurring, *state.random.sample(others, len(others))]
         del suspects[MAX_REQUESTS:]
     number = state.backend.crash_count
-    for part, first in enumerate(range(0, len(suspects), REQUESTS_AN_END)):
-        end = messages.BackendCrash(
+    for part, first in enumerate(range(0, len(suspects), REQUESTS_PER_MESSAGE)):
+        crash = messages.BackendCrash(
             node=state.node,
             incarnation=state.incarnation,
             number=number,
             part=part,
-            requests=tuple(suspects[first : first + REQUESTS_AN_END]),
+            requests=tuple(suspects[first : first + REQUESTS_PER_MESSAGE]),
         )
-        table.add_crash(state, end)
+        table.add_crash(state, crash)
     table.update_quarantined(state, out)
 
 
 def record_run(state: states.State, request: int, out: states.Effects) -> None:
-    """Take in that a request ran to an answer at the backend server of this node."""
-    known = state.quarantine
-    known.recent_runs.pop(request, None)
-    known.recent_runs[request] = None
-    if len(known.recent_runs) > RUNS_KEPT:
-        del known.recent_runs[next(iter(known.recent_runs))]
-    if request in known.suspects or request in known.quarantined:
+    """Record that a request completed at the backend server of this node."""
+    quarantine = state.quarantine
+    quarantine.recent_runs.pop(request, None)
+    quarantine.recent_runs[request] = None
+    if len(quarantine.recent_runs) > MAX_RECENT_RUNS:
+        del quarantine.recent_runs[next(iter(quarantine.recent_runs))]
+    if request in quarantine.suspects or request in quarantine.quarantined:
         _clear(state, request, out)
 
 
 def entry_of(state: states.State, request: int) -> states.QuarantineEntry | None:
-    """Return why a request is kept out, or ``None`` where it is not."""
+    """Return the quarantine entry of a request, or ``None``."""
     return state.quarantine.quarantined.get(request)
 
 
 def trial_due_in(state: states.State, request: int) -> ids.Milliseconds:
-    """Return how long it takes until a request that is kept out is tried again."""
-    known = state.quarantine
-    word = known.quarantined[request]
-    trial = known.trials.get(request)
-    last = (
-        word.last_crash_at
+    """Return the time until a quarantined request is tried again."""
+    quarantine = state.quarantine
+    entry = quarantine.quarantined[request]
+    trial = quarantine.trials.get(request)
+    last_run_at = (
+        entry.last_crash_at
         if trial is None
-        else max(word.last_crash_at, trial.started_at)
+        else max(entry.last_crash_at, trial.started_at)
     )
-    return max(0.0, last + _pause(word.crash_count) - state.now)
+    return max(0.0, last_run_at + _trial_pause(entry.crash_count) - state.now)
 
 
 def trial_node(state: states.State, call: states.Call) -> ids.NodeId | None:
-    """Return the one home at which a request is to be tried now, if it is."""
+    """Return the home node that is to try a request now, if a trial is due."""
     if trial_due_in(state, call.fingerprint) > 0.0:
         return None
     return _trial_home(state, call.fingerprint, call.service)
 
 
 def admits(state: states.State, hosted: states.Hosted) -> bool:
-    """Tell whether a call may run here: it is not kept out, or this is its trial."""
-    known = state.quarantine
+    """Whether a call may run here: it is not quarantined, or this is its trial."""
+    quarantine = state.quarantine
     request = hosted.metadata.fingerprint
-    if request not in known.quarantined:
+    if request not in quarantine.quarantined:
         return True
-    trial = known.trials.get(request)
+    trial = quarantine.trials.get(request)
     if trial is not None and trial.hosted == hosted.id:
         return True
     if trial_due_in(state, request) > 0.0:
         return False
     if _trial_home(state, request, hosted.metadata.service) != state.node:
         return False
-    known.trials[request] = states.Trial(hosted=hosted.id, started_at=state.now)
+    quarantine.trials[request] = states.Trial(hosted=hosted.id, started_at=state.now)
     return True
 
 
 def decision_figures(state: states.State, request: int) -> tuple[float, ...]:
-    """Return what a decision to keep a request out saw."""
-    word = state.quarantine.quarantined[request]
-    since_s = (state.now - word.last_crash_at) / 1000.0
-    return (float(word.crash_count), since_s, trial_due_in(state, request) / 1000.0)
+    """Return the figures of a decision to refuse a quarantined request."""
+    entry = state.quarantine.quarantined[request]
+    since_s = (state.now - entry.last_crash_at) / 1000.0
+    return (float(entry.crash_count), since_s, trial_due_in(state, request) / 1000.0)
 
 
 def on_cleared(
     state: states.State, event: events.RequestCleared, out: states.Effects
 ) -> None:
-    """Let a request run again, since an operator says so."""
-    kept_out = event.request in state.quarantine.quarantined
-    if kept_out:
+    """Clear a request on behalf of an operator."""
+    was_quarantined = event.request in state.quarantine.quarantined
+    if was_quarantined:
         _clear(state, event.request, out)
     record = messages.AuditRecord(
         at=state.now,
         who=event.author,
         what="clear",
         subject=ids.fingerprint_text(event.request),
-        outcome="accepted" if kept_out else "not kept out",
+        outcome="accepted" if was_quarantined else "not kept out",
     )
     streams.audit(state, record, out)
 
 
 def on_saved(state: states.State, number: int, *, done: bool) -> bool:
-    """Take in whether the log took a record; one that it did not is put again.
+    """Record whether the log accepted a record; rejected ones are written again.
 
-    :return: whether the record was one of these.
+    :return: whether it was a quarantine record.
     """
-    known = state.quarantine
-    request = known.pending_saves.pop(number, None)
+    quarantine = state.quarantine
+    request = quarantine.pending_saves.pop(number, None)
     if request is None:
         return False
-    (known.saved if done else known.unsaved).add(request)
+    (quarantine.saved if done else quarantine.unsaved).add(request)
     return True
 
 
 def rewrite_records(state: states.State) -> None:
-    """Put again what this node put on the log, as the log may have lost it."""
-    known = state.quarantine
-    known.unsaved |= known.saved & _held(known)
-    known.saved.clear()
+    """Write the records of this node again, as the log may have lost them."""
+    quarantine = state.quarantine
+    quarantine.unsaved |= quarantine.saved & _requests_on_log(quarantine)
+    quarantine.saved.clear()
 
 
-def _held(known: states.Quarantine) -> set[int]:
-    """Return the requests of which the log is to tell."""
-    return known.quarantined.keys() | known.cleared_at.keys()
+def _requests_on_log(quarantine: states.Quarantine) -> set[int]:
+    """Return the requests that should have a record on the log."""
+    return quarantine.quarantined.keys() | quarantine.cleared_at.keys()
 
 
 def check(state: states.State, now: ids.Milliseconds, out: states.Effects) -> None:
-    """Forget what is old, and put on the log what it did not take."""
-    known = state.quarantine
-    for request in sorted(known.unsaved):
-        known.unsaved.discard(request)
+    """Drop expired crashes and entries, and retry failed writes to the log."""
+    quarantine = state.quarantine
+    for request in sorted(quarantine.unsaved):
+        quarantine.unsaved.discard(request)
         table.save(state, request, out)
-    old_ends = [
+    expired_crashes = [
         id_
-        for id_, end in known.crashes.items()
-        if now - end.crashed_at >= quarantine_gossip.KEPT_MS
+        for id_, crash in quarantine.crashes.items()
+        if now - crash.crashed_at >= quarantine_gossip.CRASH_RETENTION_MS
     ]
-    old = [
-        r
-        for r, word in known.reported.items()
-        if now - word.last_crash_at >= quarantine_gossip.FORGOTTEN_MS
+    expired = [
+        fingerprint
+        for fingerprint, entry in quarantine.reported.items()
+        if now - entry.last_crash_at >= quarantine_gossip.ENTRY_RETENTION_MS
     ]
-    if not old_ends and not old:
+    if not expired_crashes and not expired:
         return
-    # What is kept out stays so when the ends that tell of it are forgotten.
-    known.reported.update(known.quarantined)
-    for id_ in old_ends:
-        del known.crashes[id_]
-    for request in old:
-        known.reported.pop(request, None)
-    for request, at in list(known.cleared_at.items()):
-        if now - at >= quarantine_gossip.FORGOTTEN_MS:
-            del known.cleared_at[request]
+    # Entries outlive the crashes that they are derived from.
+    quarantine.reported.update(quarantine.quarantined)
+    for id_ in expired_crashes:
+        del quarantine.crashes[id_]
+    for request in expired:
+        quarantine.reported.pop(request, None)
+    for request, at in list(quarantine.cleared_at.items()):
+        if now - at >= quarantine_gossip.ENTRY_RETENTION_MS:
+            del quarantine.cleared_at[request]
     table.update_quarantined(state, out)
-    known.saved &= _held(known)
-    for request in old:
-        if _drops_record(state, request):
+    quarantine.saved &= _requests_on_log(quarantine)
+    for request in expired:
+        if _deletes_record(state, request):
             table.save(state, request, out)
 
 
 def _clear(state: states.State, request: int, out: states.Effects) -> None:
-    """Hold nothing against a request any more, here, at other nodes and on the log."""
-    on_log = request in state.quarantine.quarantined
+    """Clear a request at all nodes, and delete its record from the log."""
+    was_quarantined = request in state.quarantine.quarantined
     table.clear(state, request, state.now, out)
-    if on_log:
+    if was_quarantined:
         table.save(state, request, out)
 
 
-def _drops_record(state: states.State, request: int) -> bool:
-    """Tell whether it is on this node to take a forgotten request off the log; all
-    nodes forget it at about the same time."""
+def _deletes_record(state: states.State, request: int) -> bool:
+    """Whether this node is the one to delete the record of an expired request.
+
+    All nodes drop the entry at about the same time.
+    """
     nodes = [state.node, *member_table.reachable(state)]
     return keys.preferred_node(ids.fingerprint_text(request), nodes) == state.node
 
 
-def _pause(ends: int) -> ids.Milliseconds:
-    factor = TRIAL_FACTOR ** min(ends - crash_attribution.CRASHES_TO_QUARANTINE, 8)
+def _trial_pause(crash_count: int) -> ids.Milliseconds:
+    factor = TRIAL_PAUSE_FACTOR ** min(
+        crash_count - crash_attribution.CRASHES_TO_QUARANTINE, 8
+    )
     return min(TRIAL_PAUSE_MS * factor, MAX_TRIAL_PAUSE_MS)
 
 
--- a/src/gingerturn/internal/core/quarantine_gossip.py
+++ b/src/gingerturn/internal/core/quarantine_gossip.py
@@ -1,5 +1,4 @@
-"""How nodes hear of requests that end backend servers: by what rides on membership
-messages, and by the log."""
+"""Distribution of crashes and quarantine entries by gossip and the log."""
 
 import msgspec
 
@@ -10,136 +9,146 @@
     state as states,
 )
 
-KEPT_MS = 600_000.0
-"""An end is remembered for ten minutes: requests like these come again within seconds
-or minutes, since their callers repeat them."""
+CRASH_RETENTION_MS = 600_000.0
+"""Crashes are kept for this long. Callers retry requests that crash backend servers
+within seconds or minutes."""
 
-FORGOTTEN_MS = 86_400_000.0
-"""What is kept out and neither comes again nor is cleared is forgotten after a day, by
-when the backend servers have mostly been replaced by a later version."""
+ENTRY_RETENTION_MS = 86_400_000.0
+"""Quarantine entries without a further crash expire after a day, by when most backend
+servers run a later version."""
 
-WORDS_A_MESSAGE = 4
-TELL_AGAIN_MS = 1_000.0
-"""A node that keeps out other requests than its peer tells its own again, at most once
-a second: so nodes learn of them that were cut off or started since."""
+UPDATES_PER_MESSAGE = 4
+RESEND_INTERVAL_MS = 1_000.0
+"""A node whose entries differ from a peer's enqueues its own again, at most once in
+this time. This informs nodes that were partitioned or have just started."""
 
-SAME_MS = 5_000.0
-"""Words on one end differ by the time that they were under way, not by more."""
+SAME_CRASH_MS = 5_000.0
+"""Times of one crash reported by different nodes differ by less than this."""
 
 
 def outgoing(state: states.State) -> messages.QuarantineGossip:
-    """Return what rides on the next membership message."""
-    known = state.quarantine
-    if not (known.crashes or known.quarantined or known.updates_to_gossip):
+    """Return the quarantine part of the next membership message."""
+    quarantine = state.quarantine
+    if not (
+        quarantine.crashes or quarantine.quarantined or quarantine.updates_to_gossip
+    ):
         return messages.NO_QUARANTINE_GOSSIP
-    ends = tuple(
-        _told_end(state, id_)
-        for id_ in known.crashes_to_gossip.take(1)
-        if id_ in known.crashes
+    crashes = tuple(
+        _crash_to_send(state, id_)
+        for id_ in quarantine.crashes_to_gossip.take(1)
+        if id_ in quarantine.crashes
+    )
+    fingerprints = quarantine.updates_to_gossip.take(UPDATES_PER_MESSAGE)
+    updates = tuple(
+        _update_to_send(state, request)
+        for request in (int(fingerprint, 16) for fingerprint in fingerprints)
+        if request in quarantine.quarantined or request in quarantine.cleared_at
     )
-    names = known.updates_to_gossip.take(WORDS_A_MESSAGE)
-    words = tuple(
-        _told_word(state, request)
-        for request in (int(name, 16) for name in names)
-        if request in known.quarantined or request in known.cleared_at
+    return messages.QuarantineGossip(
+        crashes=crashes, updates=updates, digest=quarantine.digest
     )
-    return messages.QuarantineGossip(crashes=ends, updates=words, digest=known.digest)
 
 
 def on_gossip(
-    state: states.State, told: messages.QuarantineGossip, out: states.Effects
+    state: states.State, gossip: messages.QuarantineGossip, out: states.Effects
 ) -> bool:
-    """Take in what rode on a membership message.
+    """Apply the quarantine part of a membership message.
 
-    :return: whether it is to be passed on at once: it changes what is kept out, or is
-        about to. All other ends ride on the messages that are sent anyway.
+    :return: whether to send it on at once, since it changes the quarantined requests or
+        a suspect crashed another backend server. Other crashes are attached to regular
+        messages.
     """
-    known = state.quarantine
-    before = known.quarantined.keys()
-    fresh = [
-        end
-        for end in told.crashes
-        if table.id_of(end) not in known.crashes and end.age_ms < KEPT_MS
+    quarantine = state.quarantine
+    previous = quarantine.quarantined.keys()
+    new_crashes = [
+        crash
+        for crash in gossip.crashes
+        if table.id_of(crash) not in quarantine.crashes
+        and crash.age_ms < CRASH_RETENTION_MS
     ]
-    for end in fresh:
-        table.add_crash(state, end)
-    heard = [word for word in told.updates if _hear_word(state, word, out)]
-    if fresh or heard:
+    for crash in new_crashes:
+        table.add_crash(state, crash)
+    applied = [update for update in gossip.updates if _apply_update(state, update, out)]
+    if new_crashes or applied:
         table.update_quarantined(state, out)
-    if told.digest != known.digest and state.now >= known.next_gossip_at:
-        known.next_gossip_at = state.now + TELL_AGAIN_MS
-        for request in known.quarantined:
+    if gossip.digest != quarantine.digest and state.now >= quarantine.next_gossip_at:
+        quarantine.next_gossip_at = state.now + RESEND_INTERVAL_MS
+        for request in quarantine.quarantined:
             table.enqueue_update(state, request)
-    doubted = known.suspects - known.quarantined.keys()
-    recurring = any(not doubted.isdisjoint(end.requests) for end in fresh)
-    return recurring or known.quarantined.keys() != before
+    unconfirmed = quarantine.suspects - quarantine.quarantined.keys()
+    recurring = any(not unconfirmed.isdisjoint(crash.requests) for crash in new_crashes)
+    return recurring or quarantine.quarantined.keys() != previous
 
 
 def on_record(
     state: states.State, record: messages.QuarantineRecord, out: states.Effects
 ) -> None:
-    """Take in a request that a node kept out, or cleared, and put on the log."""
-    if state.now - record.at < FORGOTTEN_MS:
-        word = messages.QuarantineUpdate(
+    """Apply a record on the log of a request that a node quarantined or cleared."""
+    if state.now - record.at < ENTRY_RETENTION_MS:
+        update = messages.QuarantineUpdate(
             request=record.request,
             crash_count=record.ends,
             age_ms=max(0.0, state.now - record.at),
         )
-        if _hear_word(state, word, out):
+        if _apply_update(state, update, out):
             table.update_quarantined(state, out)
 
 
-def _hear_word(
-    state: states.State, word: messages.QuarantineUpdate, out: states.Effects
+def _apply_update(
+    state: states.State, update: messages.QuarantineUpdate, out: states.Effects
 ) -> bool:
-    known = state.quarantine
-    at = state.now - word.age_ms
-    cleared = known.cleared_at.get(word.request, 0.0)
-    if word.crash_count == 0:
-        if at <= cleared + SAME_MS:
+    quarantine = state.quarantine
+    at = state.now - update.age_ms
+    cleared_at = quarantine.cleared_at.get(update.request, 0.0)
+    if update.crash_count == 0:
+        if at <= cleared_at + SAME_CRASH_MS:
             return False
-        table.clear(state, word.request, at, out)
+        table.clear(state, update.request, at, out)
         return True
-    held = known.quarantined.get(word.request) or known.reported.get(word.request)
-    if at <= cleared or word.crash_count < crash_attribution.CRASHES_TO_QUARANTINE:
+    entry = quarantine.quarantined.get(update.request) or quarantine.reported.get(
+        update.request
+    )
+    if at <= cleared_at or update.crash_count < crash_attribution.CRASHES_TO_QUARANTINE:
         return False
     if (
-        held
-        and held.crash_count >= word.crash_count
-        and at <= held.last_crash_at + SAME_MS
+        entry
+        and entry.crash_count >= update.crash_count
+        and at <= entry.last_crash_at + SAME_CRASH_MS
     ):
         return False
     if (
-        not held
+        not entry
         and crash_attribution.crash_count(
-            crash_attribution.shared_crashes(known), word.request
+            crash_attribution.shared_crashes(quarantine), update.request
         )
-        >= word.crash_count
+        >= update.crash_count
     ):
-        # Another request explains all of these ends.
+        # All of these crashes are attributed to another request.
         return False
-    known.reported[word.request] = table.merge_entries(
-        held, states.QuarantineEntry(crash_count=word.crash_count, last_crash_at=at)
+    quarantine.reported[update.request] = table.merge_entries(
+        entry, states.QuarantineEntry(crash_count=update.crash_count, last_crash_at=at)
     )
-    table.trim(known.reported, table.MAX_QUARANTINED)
-    table.enqueue_update(state, word.request)
+    table.trim(quarantine.reported, table.MAX_QUARANTINED)
+    table.enqueue_update(state, update.request)
     return True
 
 
-def _told_end(state: states.State, id_: str) -> messages.BackendCrash:
-    known = state.quarantine.crashes[id_]
-    return msgspec.structs.replace(known.crash, age_ms=state.now - known.crashed_at)
+def _crash_to_send(state: states.State, id_: str) -> messages.BackendCrash:
+    known_crash = state.quarantine.crashes[id_]
+    return msgspec.structs.replace(
+        known_crash.crash, age_ms=state.now - known_crash.crashed_at
+    )
 
 
-def _told_word(state: states.State, request: int) -> messages.QuarantineUpdate:
-    known = state.quarantine
-    word = known.quarantined.get(request)
-    if word is None:
-        word = states.QuarantineEntry(
-            crash_count=0, last_crash_at=known.cleared_at[request]
+def _update_to_send(state: states.State, request: int) -> messages.QuarantineUpdate:
+    quarantine = state.quarantine
+    entry = quarantine.quarantined.get(request)
+    if entry is None:
+        entry = states.QuarantineEntry(
+            crash_count=0, last_crash_at=quarantine.cleared_at[request]
         )
     return messages.QuarantineUpdate(
         request=request,
-        crash_count=word.crash_count,
-        age_ms=state.now - word.last_crash_at,
+        crash_count=entry.crash_count,
+        age_ms=state.now - entry.last_crash_at,
     )
--- a/src/gingerturn/internal/core/quarantine_table.py
+++ b/src/gingerturn/internal/core/quarantine_table.py
@@ -1,8 +1,8 @@
-"""What a node knows of requests that end backend servers, and what follows from it.
+"""The crashes and quarantine entries that a node knows.
 
-Invariants: what is kept out follows from ``ends``, ``told`` and ``cleared`` alone, so
-that nodes which heard the same keep out the same; nothing is kept out for ends from
-before it was cleared.
+Invariants: the quarantined requests are derived from ``crashes``, ``reported`` and
+``cleared_at`` alone, so nodes with the same data quarantine the same requests; a
+request is not quarantined for crashes from before it was cleared.
 """
 
 import collections
@@ -22,108 +22,116 @@
 
 MAX_CRASHES = 128
 MAX_QUARANTINED = 256
-"""Bounds on memory, some 40 kB in all; the oldest go first."""
+"""Bounds on memory, about 40 kB in all; the oldest entries are dropped first."""
 
-END_TOLD_PART = 2
-"""An end is passed on half as often as a change of a member: what follows from it is
-made up for by the digest, and it is several times as long."""
+CRASH_TRANSMISSION_DIVISOR = 2
+"""A crash is transmitted less often than a membership update by this factor. It is
+several times as long, and the digest detects nodes that missed its consequences."""
 
 PART = "quarantine"
 
 
-def add_crash(state: states.State, end: messages.BackendCrash) -> None:
-    """Remember one part of an end, and let it be passed on."""
-    known = state.quarantine
-    id_ = id_of(end)
-    known.crashes[id_] = states.KnownCrash(crash=end, crashed_at=state.now - end.age_ms)
-    if len(known.crashes) > MAX_CRASHES:
-        oldest = min(known.crashes, key=lambda other: known.crashes[other].crashed_at)
-        del known.crashes[oldest]
-        known.crashes_to_gossip.drop(oldest)
-    times = member_table.transmission_count(state) // END_TOLD_PART
-    known.crashes_to_gossip.put(id_, max(1, times))
+def add_crash(state: states.State, crash: messages.BackendCrash) -> None:
+    """Add one part of a crash report, and enqueue it for gossip."""
+    quarantine = state.quarantine
+    id_ = id_of(crash)
+    quarantine.crashes[id_] = states.KnownCrash(
+        crash=crash, crashed_at=state.now - crash.age_ms
+    )
+    if len(quarantine.crashes) > MAX_CRASHES:
+        oldest = min(
+            quarantine.crashes, key=lambda other: quarantine.crashes[other].crashed_at
+        )
+        del quarantine.crashes[oldest]
+        quarantine.crashes_to_gossip.drop(oldest)
+    transmissions = member_table.transmission_count(state) // CRASH_TRANSMISSION_DIVISOR
+    quarantine.crashes_to_gossip.put(id_, max(1, transmissions))
 
 
 def clear(
     state: states.State, request: int, at: ids.Milliseconds, out: states.Effects
 ) -> None:
-    """Hold nothing of before against a request, and let that be passed on.
+    """Clear a request of earlier crashes, and enqueue that for gossip.
 
-    :param at: when it ran to an answer, or an operator cleared it.
+    :param at: when it completed, or an operator cleared it.
     """
-    known = state.quarantine
-    known.cleared_at.pop(request, None)
-    known.cleared_at[request] = at
-    trim(known.cleared_at, MAX_QUARANTINED)
-    word = known.reported.get(request)
-    if word is not None and word.last_crash_at <= at:
-        del known.reported[request]
+    quarantine = state.quarantine
+    quarantine.cleared_at.pop(request, None)
+    quarantine.cleared_at[request] = at
+    trim(quarantine.cleared_at, MAX_QUARANTINED)
+    entry = quarantine.reported.get(request)
+    if entry is not None and entry.last_crash_at <= at:
+        del quarantine.reported[request]
     enqueue_update(state, request)
     update_quarantined(state, out)
 
 
 def update_quarantined(state: states.State, out: states.Effects) -> None:
-    """Work out which requests are to blame, from all that is known."""
-    known = state.quarantine
-    shared = crash_attribution.shared_crashes(known)
-    found = crash_attribution.attribute_crashes(shared)
-    for request, word in known.reported.items():
+    """Derive the quarantined requests from the known crashes and reports."""
+    quarantine = state.quarantine
+    shared = crash_attribution.shared_crashes(quarantine)
+    entries = crash_attribution.attribute_crashes(shared)
+    for request, entry in quarantine.reported.items():
         explained = (
-            request not in found
-            and crash_attribution.crash_count(shared, request) >= word.crash_count
+            request not in entries
+            and crash_attribution.crash_count(shared, request) >= entry.crash_count
         )
         if not explained:
-            found[request] = merge_entries(found.get(request), word)
-    counts = collections.Counter(r for end in shared.values() for r in end.requests)
-    known.suspects = {request for request, times in counts.items() if times > 1}
-    before = known.quarantined
-    _log_change(before, found, out)
-    latest = sorted(found, key=lambda request: -found[request].last_crash_at)[
+            entries[request] = merge_entries(entries.get(request), entry)
+    counts = collections.Counter(
+        fingerprint for crash in shared.values() for fingerprint in crash.requests
+    )
+    quarantine.suspects = {request for request, count in counts.items() if count > 1}
+    previous = quarantine.quarantined
+    _log_change(previous, entries, out)
+    latest = sorted(entries, key=lambda request: -entries[request].last_crash_at)[
         :MAX_QUARANTINED
     ]
-    known.quarantined = {request: found[request] for request in sorted(latest)}
-    known.digest = _digest(known.quarantined)
-    own = _own_requests(state)
-    for request, word in known.quarantined.items():
-        worse = request not in before or before[request].crash_count < word.crash_count
-        if worse and request in own:
+    quarantine.quarantined = {request: entries[request] for request in sorted(latest)}
+    quarantine.digest = _digest(quarantine.quarantined)
+    local = _requests_of_local_crashes(state)
+    for request, entry in quarantine.quarantined.items():
+        worse = (
+            request not in previous or previous[request].crash_count < entry.crash_count
+        )
+        if worse and request in local:
             save(state, request, out)
-    for request in known.trials.keys() - known.quarantined.keys():
-        del known.trials[request]
+    for request in quarantine.trials.keys() - quarantine.quarantined.keys():
+        del quarantine.trials[request]
 
 
 def _log_change(
-    before: dict[int, states.QuarantineEntry],
-    found: dict[int, states.QuarantineEntry],
+    previous: dict[int, states.QuarantineEntry],
+    current: dict[int, states.QuarantineEntry],
     out: states.Effects,
 ) -> None:
-    """Write which requests are kept out from now on, and which no more."""
-    for request in found.keys() - before.keys():
+    """Log which requests were quarantined or released."""
+    for request in current.keys() - previous.keys():
         text = (
-            f"Request {ids.fingerprint_text(request)} is kept out:"
-            f" {found[request].crash_count} backend servers ended while they ran it."
+            f"Request {ids.fingerprint_text(request)} is quarantined:"
+            f" {current[request].crash_count} backend servers crashed while running it."
         )
         operator_log.warn(out, PART, text)
-    for request in before.keys() - found.keys():
-        text = f"Request {ids.fingerprint_text(request)} is kept out no more."
+    for request in previous.keys() - current.keys():
+        text = f"Request {ids.fingerprint_text(request)} is no longer quarantined."
         operator_log.info(out, PART, text)
 
 
-def _own_requests(state: states.State) -> set[int]:
-    """Return what was under way when backend servers ended beside this node.
+def _requests_of_local_crashes(state: states.State) -> set[int]:
+    """Return the requests that were in progress in crashes at this node.
 
-    Each home that saw one of the ends puts the record: which one hears of the third
-    end first, and whether it lives on, is chance.
+    Each home node with such a crash writes the record, since any one of them may fail
+    before it learns of the third crash.
     """
-    ends = state.quarantine.crashes.values()
-    own = [end.requests for end in ends if end.crash.node == state.node]
-    return {request for requests in own for request in requests}
+    crashes = state.quarantine.crashes.values()
+    local = [crash.requests for crash in crashes if crash.crash.node == state.node]
+    return {request for requests in local for request in requests}
 
 
 def merge_entries(
     one: states.QuarantineEntry | None, other: states.QuarantineEntry
 ) -> states.QuarantineEntry:
-    """Return what two words on a request come to."""
+    """Return the maximum of two entries of a request."""
     if one is None:
         return other
     return states.QuarantineEntry(
@@ -133,28 +141,30 @@
 
 
 def enqueue_update(state: states.State, request: int) -> None:
-    """Let what is held of a request ride on the next messages."""
-    times = member_table.transmission_count(state)
-    state.quarantine.updates_to_gossip.put(ids.fingerprint_text(request), times)
+    """Enqueue the entry of a request for gossip."""
+    transmissions = member_table.transmission_count(state)
+    state.quarantine.updates_to_gossip.put(ids.fingerprint_text(request), transmissions)
 
 
 def save(state: states.State, request: int, out: states.Effects) -> None:
-    """Put what is held of a request on the log: the one place that outlives a loss of
-    power of all nodes at once."""
-    known = state.quarantine
-    word = known.quarantined.get(request)
+    """Write the entry of a request to the log, or delete it there.
+
+    The log keeps it over a simultaneous restart of all nodes.
+    """
+    quarantine = state.quarantine
+    entry = quarantine.quarantined.get(request)
     number = state.next_number()
-    known.pending_saves[number] = request
+    quarantine.pending_saves[number] = request
     record = messages.encode_record(
         messages.QuarantineRecord(
             request=request,
-            ends=0 if word is None else word.crash_count,
-            at=state.now if word is None else word.last_crash_at,
+            ends=0 if entry is None else entry.crash_count,
+            at=state.now if entry is None else entry.last_crash_at,
         )
     )
     if state.keyed_log:
         key = f"{PART}/{ids.fingerprint_text(request)}"
-        content = b"" if word is None else record
+        content = b"" if entry is None else record
         out.append(
             effects.PutRecord(
                 put=number, stream=streams.MEMBERS, key=key, record=content
@@ -164,19 +174,19 @@
     out.append(effects.Append(append=number, stream=streams.MEMBERS, record=record))
 
 
-def id_of(end: messages.BackendCrash) -> str:
-    """Return what one part of an end is known by."""
-    return f"{end.node}/{end.incarnation}/{end.number}/{end.part}"
+def id_of(crash: messages.BackendCrash) -> str:
+    """Return the id of one part of a crash report."""
+    return f"{crash.node}/{crash.incarnation}/{crash.number}/{crash.part}"
 
 
 def _digest(requests: collections.abc.Iterable[int]) -> int:
-    folded = 0
+    digest = 0
     for request in requests:
-        folded ^= request ^ request >> 32
-    return folded & 0xFFFFFFFF
+        digest ^= request ^ request >> 32
+    return digest & 0xFFFFFFFF
 
 
-def trim(table: dict[int, typing.Any], most: int) -> None:
-    """Drop the oldest entries of a table that has filled up."""
-    while len(table) > most:
+def trim(table: dict[int, typing.Any], max_size: int) -> None:
+    """Drop the oldest entries of a table that exceeds its maximum size."""
+    while len(table) > max_size:
         del table[next(iter(table))]
--- a/src/gingerturn/internal/core/reducer.py
+++ b/src/gingerturn/internal/core/reducer.py
@@ -242,7 +242,7 @@
         joining.on_join_records(state, joins, out)
     reached = event.first + len(event.records) >= event.end
     if event.stream == streams.ROUTES and reached and not gap and event.requested_at:
-        freshness.on_read(state, event.requested_at, held_ms=event.held_open_ms)
+        freshness.on_read(state, event.requested_at, held_open_ms=event.held_open_ms)
 
 
 def _on_record(
@@ -321,7 +321,7 @@
 def _put_routes(
     state: states.State, table: routes.RouteTable, out: states.Effects
 ) -> None:
-    if route_table.put(state, table, out):
+    if route_table.activate(state, table, out):
         membership.push(state, out)
 
 
--- a/src/gingerturn/internal/core/replies.py
+++ b/src/gingerturn/internal/core/replies.py
@@ -221,7 +221,7 @@
 ) -> None:
     """Enter the last phase of a key and tell the repeats that waited."""
     entry = state.keys[hosted.metadata.key]
-    keys.mark_done(entry, kept=kept, certain=certain)
+    keys.mark_done(entry, answer_stored=kept, outcome_known=certain)
     waiters = list(entry.waiters)
     entry.waiters.clear()
     for waiter_id in waiters:
--- a/src/gingerturn/internal/core/route_table.py
+++ b/src/gingerturn/internal/core/route_table.py
@@ -1,4 +1,4 @@
-"""The route table in force: whole, by version, never back."""
+"""Activation of route tables and resolution of requests against the active one."""
 
 import typing
 
@@ -16,35 +16,36 @@
     workspaces,
 )
 
-FETCH_EVERY_MS = 300.0
-"""Pause between two questions to peers for a later table: an answer takes a few
-milliseconds, so a lost one is asked for again well within the two seconds in which
-operators expect a change to be in force."""
+FETCH_INTERVAL_MS = 300.0
+"""Interval between two fetches of a later table, so that a lost answer is repeated well
+within the two seconds in which a change must be active."""
 
 _PART = "routes"
 
 
 class Resolved(msgspec.Struct, frozen=True, gc=False):
-    """By which rule a request is treated, and in whose name it runs."""
+    """The rule that applies to a request, and its workspace."""
 
     rule: configuration.KindRule
     workspace: ids.WorkspaceName
 
 
-def put(state: states.State, table: routes.RouteTable, out: states.Effects) -> bool:
-    """Put a table in force if it is later than the present one.
+def activate(
+    state: states.State, table: routes.RouteTable, out: states.Effects
+) -> bool:
+    """Activate a table if it is later than the active one.
 
-    A table that is not allowed changes nothing: the one before stays in force.
+    An invalid table is refused as a whole, and the active one stays.
 
-    :return: whether it is in force now.
+    :return: whether the table was activated.
     """
-    present = 0 if state.routes is None else state.routes.version
-    if table.version <= present:
+    active_version = 0 if state.routes is None else state.routes.version
+    if table.version <= active_version:
         return False
     try:
         routes.check_table(table, origin=f"version {table.version}")
     except errors.InvalidDocument as error:
-        operator_log.warn(out, _PART, f"Table refused: {error}.")
+        operator_log.warn(out, _PART, f"Route table refused: {error}.")
         return False
     state.routes = routes.RouteIndex(table)
     names = {route.name for route in table.routes}
@@ -54,13 +55,13 @@
         state.mean_answer_ms,
         *slot_costs.by_kind(state.costs),
     )
-    for known in by_kind:
-        for name in [name for name in known if name not in names]:
-            del known[name]
+    for values in by_kind:
+        for name in [name for name in values if name not in names]:
+            del values[name]
     for service, kind in list(state.levels):
         if kind and kind not in names:
             del state.levels[(service, kind)]
-    text = f"Version {table.version} is in force, {len(table.routes)} routes."
+    text = f"Route table {table.version} is active, {len(table.routes)} routes."
     operator_log.info(out, _PART, text)
     return True
 
@@ -68,10 +69,13 @@
 def on_peer_version(
     state: states.State, node: ids.NodeId, version: int, out: states.Effects
 ) -> None:
-    """Fetch the table from a peer that has a later one."""
+    """Fetch the table from a peer that advertises a later version."""
     state.highest_routes_version = max(state.highest_routes_version, version)
-    present = 0 if state.routes is None else state.routes.version
-    if version <= present or state.now - state.routes_fetched_at < FETCH_EVERY_MS:
+    active_version = 0 if state.routes is None else state.routes.version
+    if (
+        version <= active_version
+        or state.now - state.routes_fetched_at < FETCH_INTERVAL_MS
+    ):
         return
     member = state.membership.members.get(node)
     if member is None:
@@ -83,9 +87,9 @@
 def resolve(
     state: states.State, event: events.CallArrived, parent: states.Hosted | None
 ) -> Resolved | decisions.Rule:
-    """Return the rule for a request and whose it is, or why it has none.
+    """Return the rule and workspace of a request, or the rule that refuses it.
 
-    :param parent: the request that runs here which it is part of, if any.
+    :param parent: the running request that it is part of, if any.
     """
     index = state.routes
     if index is None:
@@ -96,34 +100,33 @@
     name = ids.WorkspaceName("")
     workspace = None
     if parent is None:
-        found = workspaces.of_request(state, event, route)
-        if isinstance(found, decisions.Rule):
-            return found
-        workspace = found
-        name = ids.WorkspaceName("" if found is None else found.name)
+        identified = workspaces.of_request(state, event, route)
+        if isinstance(identified, decisions.Rule):
+            return identified
+        workspace = identified
+        name = ids.WorkspaceName("" if identified is None else identified.name)
     elif index.needs_keys and not route.public:
         name = parent.metadata.workspace
-    rule = index.rule(route, _service(state, route), workspace)
+    rule = index.rule(route, _choose_service(state, route), workspace)
     return Resolved(rule=rule, workspace=name)
 
 
-def _service(state: states.State, route: routes.Route) -> str:
-    """Return whose turn it is by weight (smooth weighted round robin).
+def _choose_service(state: states.State, route: routes.Route) -> str:
+    """Return the next service of a split by smooth weighted round robin.
 
-    Drawing at random instead strays from the weights by several parts in a hundred
-    over some hundred requests; taking turns keeps them to a single request.
+    Unlike a random draw it keeps to the weights within a single request.
     """
     if len(route.shares) == 1:
         return route.shares[0].service
-    turns = state.split_credits.setdefault(route.name, {})
+    credits = state.split_credits.setdefault(route.name, {})
     total = sum(share.weight for share in route.shares)
     for share in route.shares:
-        if share.service not in turns:
-            # A random start, so that nodes that start together do not send the
-            # same requests of a rare route to the same service.
-            turns[share.service] = share.weight * state.random.random()
-        turns[share.service] += share.weight
+        if share.service not in credits:
+            # A random offset, so that nodes which start together do not all choose the
+            # same service first.
+            credits[share.service] = share.weight * state.random.random()
+        credits[share.service] += share.weight
     weighted = [share for share in route.shares if share.weight > 0]
-    chosen = max(weighted, key=lambda share: turns[share.service]).service
-    turns[chosen] -= total
+    chosen = max(weighted, key=lambda share: credits[share.service]).service
+    credits[chosen] -= total
     return chosen
--- a/src/gingerturn/internal/core/workspaces.py
+++ b/src/gingerturn/internal/core/workspaces.py
@@ -1,9 +1,8 @@
-"""Whose request it is: by its API key, at the node that the caller sends to.
+"""Authentication of requests by API key, at the entry node.
 
-The key itself ends at the edge; inside, the workspace's name goes with the request.
-Calls that backend servers make for it carry no key: they belong to the request that
-runs here, whatever its workspace's keys are by then, since the work done for it would
-be lost.
+The key is not forwarded; other nodes receive the name of the workspace. Calls that
+backend servers make for a running request carry no key and inherit its workspace, even
+if its key has been revoked meanwhile.
 """
 
 from gingerturn import routes
@@ -14,25 +13,24 @@
     state as states,
 )
 
-FETCH_MS = 500.0
-"""When a caller whose key may be in a later configuration comes back: by then a lost
-answer to the first question has been asked for again."""
+RETRY_DELAY_MS = 500.0
+"""Retry delay for callers whose key may be in a later route table. It leaves time for
+a second attempt to fetch that table."""
 
 
 def of_request(
     state: states.State, event: events.CallArrived, route: routes.Route
 ) -> routes.Workspace | decisions.Rule | None:
-    """Return whose a whole request is, or why it is refused.
+    """Return the workspace of a root request, or the rule that refuses it.
 
-    :return: ``None`` where no key is needed.
+    :return: ``None`` if no key is required.
     """
     index = state.routes
     if index is None or not index.needs_keys or route.public:
         return None
     if event.span != event.trace and state.lineage and not event.key_digest:
-        # It may be part of a request that this node no longer knows, after a restart
-        # beside a backend server that went on. Told that its key is unknown, the
-        # backend server would not try again.
+        # The parent may have been lost in a restart of this node. With KEY_UNKNOWN the
+        # backend server would not retry.
         return decisions.Rule.PARENT_UNKNOWN
     if freshness.is_stale(state):
         return decisions.Rule.KEYS_STALE
@@ -44,8 +42,8 @@
     return decisions.Rule.KEY_UNKNOWN
 
 
-def figures(state: states.State, rule: decisions.Rule) -> tuple[float, ...]:
-    """Return what a refusal by :func:`of_request` saw."""
+def decision_figures(state: states.State, rule: decisions.Rule) -> tuple[float, ...]:
+    """Return the figures of a refusal by :func:`of_request`."""
     if rule is decisions.Rule.KEYS_STALE:
         return (freshness.age(state), freshness.allowed_ms(state))
     if rule is decisions.Rule.KEY_UNSETTLED:
@@ -53,8 +51,8 @@
     return ()
 
 
-def come_back_after(state: states.State, rule: decisions.Rule) -> float:
-    """Return when a refused caller should come back, in ms; 0 where that is no use."""
+def retry_delay(state: states.State, rule: decisions.Rule) -> float:
+    """Return the retry delay for a refused caller, in ms; 0 if it should not retry."""
     if rule in {decisions.Rule.KEYS_STALE, decisions.Rule.KEY_UNSETTLED}:
-        return FETCH_MS * (1.0 + state.random.random())
+        return RETRY_DELAY_MS * (1.0 + state.random.random())
     return 0.0
--- a/tests/cover/test_caps.py
+++ b/tests/cover/test_caps.py
@@ -1,8 +1,7 @@
-"""What workspaces may use over all nodes together.
+"""Workspace caps over all nodes together.
 
-The pattern: seventy workspaces, a few of them large, at dozens of nodes. Most are far
-below their caps, unevenly spread over the nodes, and move; one sends many times its
-usual, while nodes are parted, end, start anew and stand still.
+Guards against caps that are exceeded, and against refusals below a cap, while demand
+moves between nodes and nodes are partitioned, crash, restart or pause.
 """
 
 import collections.abc
@@ -30,20 +29,20 @@
 from tests.common import builders, keyed, routed
 
 WINDOW_MS = 5_000.0
-OVER = 0.1
+TOLERANCE = 0.1
 SLACK = 20.0
-"""Operators let a cap be passed by this in a window."""
+"""The configured tolerance for a cap in a window."""
 
 USUAL_SHARE = 1 / 1.6
-"""Of its cap a workspace usually asks for this much."""
+"""Usual demand of a workspace, as a part of its cap."""
 
 SERVED_BELOW = 0.98
-SERVED_PARTED = 0.90
+SERVED_PARTITIONED = 0.90
 
 
 def bound(cap: routes.Workspace) -> float:
-    """Return how many requests may be let pass in a window."""
-    return (cap.rate * WINDOW_MS / 1_000.0 + cap.burst) * (1.0 + OVER) + SLACK
+    """Return how many requests may be admitted in a window."""
+    return (cap.rate * WINDOW_MS / 1_000.0 + cap.burst) * (1.0 + TOLERANCE) + SLACK
 
 
 def _workspace(rate: float, burst: float | None = None) -> routes.Workspace:
@@ -60,7 +59,7 @@
 
 @pytest.mark.parametrize("nodes", [1, 4, 68])
 @pytest.mark.parametrize("rate", [12.0, 50.0, 156.0])
-def test_nearly_all_is_let_pass_below_the_cap(nodes: int, rate: float) -> None:
+def test_nearly_all_is_admitted_below_the_cap(nodes: int, rate: float) -> None:
     made = capped.Deployment(_workspace(rate), nodes=nodes)
     made.load("shop", made.names, rate=rate * USUAL_SHARE, duration_ms=10_000.0)
     made.world.run(11_000.0)
@@ -68,7 +67,7 @@
 
 
 @pytest.mark.parametrize("rate", [50.0, 156.0])
-def test_nearly_all_is_let_pass_where_all_demand_is_at_two_nodes(rate: float) -> None:
+def test_nearly_all_is_admitted_where_all_demand_is_at_two_nodes(rate: float) -> None:
     made = capped.Deployment(_workspace(rate), nodes=68)
     made.load("shop", made.names[:2], rate=rate * USUAL_SHARE, duration_ms=10_000.0)
     made.world.run(11_000.0)
@@ -94,16 +93,16 @@
     assert made.most_in("shop", WINDOW_MS) >= 0.75 * cap.rate * WINDOW_MS / 1_000.0
 
 
-def test_those_who_are_refused_come_back_at_the_pace_of_the_cap() -> None:
+def test_retry_delays_follow_the_rate_of_the_cap() -> None:
     made = capped.Deployment(_workspace(20.0, burst=0.0), nodes=1)
     made.load("shop", made.names, rate=200.0, duration_ms=1_000.0)
     made.world.run(1_000.0)
     waits = sorted(made.waits)
     assert len(waits) > 100
-    # Not a wave at one moment: in each second only as many as may be let pass then.
+    # Retries are spread out: each second receives about as many as the cap admits.
     second = [wait for wait in waits if 2_000.0 <= wait < 3_000.0]
     assert len(second) <= 2 * 20.0
-    assert waits[-1] <= cap_buckets.MOST_WAIT_MS * 1.25
+    assert waits[-1] <= cap_buckets.MAX_RETRY_DELAY_MS * 1.25
 
 
 def test_a_workspace_without_a_cap_is_never_held() -> None:
@@ -125,19 +124,21 @@
 
 
 def _tick(state: states.State, pause: float) -> None:
-    """Let time pass at a node."""
+    """Advance a node by a tick."""
     reducer.reduce(state, events.Tick(now=state.now + pause))
 
 
 @pytest.mark.parametrize("rate", [50.0, 156.0])
-def test_parted_sides_go_on_below_the_cap_and_hold_it_together(rate: float) -> None:
+def test_sides_of_a_partition_admit_demand_below_the_cap_and_hold_it_together(
+    rate: float,
+) -> None:
     cap = _workspace(rate)
     made = capped.Deployment(cap, nodes=15)
     made.load("shop", made.names, rate=rate * USUAL_SHARE, duration_ms=12_000.0)
     made.world.run(2_000.0)
     made.part(set(made.names[:6]))
     made.world.run(10_000.0)
-    assert _served(made) >= SERVED_PARTED
+    assert _served(made) >= SERVED_PARTITIONED
     _check_bound(made, cap)
 
 
@@ -146,7 +147,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_parted_sides_hold_the_cap_under_a_flood(seed: int) -> None:
+def test_sides_of_a_partition_hold_the_cap_under_a_flood(seed: int) -> None:
     cap = _workspace(60.0)
     made = capped.Deployment(cap, nodes=12, seed=seed)
     _flood(made, cap, 14.0)
@@ -158,7 +159,7 @@
     _check_bound(made, cap)
 
 
-def test_nodes_that_start_anew_and_forgot_what_they_let_pass_hold_the_cap() -> None:
+def test_nodes_that_restart_without_their_usage_hold_the_cap() -> None:
     cap = _workspace(60.0)
     made = capped.Deployment(cap, nodes=9)
     _flood(made, cap, 12.0)
@@ -171,7 +172,7 @@
     _check_bound(made, cap)
 
 
-def test_all_nodes_that_start_anew_at_once_hold_the_cap() -> None:
+def test_nodes_that_all_restart_at_once_hold_the_cap() -> None:
     cap = _workspace(60.0)
     made = capped.Deployment(cap, nodes=9)
     _flood(made, cap, 10.0)
@@ -201,19 +202,19 @@
     _check_bound(made, lower)
 
 
-def several_keepers_hold_the_cap() -> None:
-    """Whatever nodes believe: each lends its part to one keeper at a time."""
+def check_cap_with_several_allocators() -> None:
+    """Check that each node delegates its share to one allocator at a time."""
 
     def by_name(state: states.State, out: states.Effects) -> None:
         names = ("plans-1", "plans-2")
         other = names[sum(state.node.encode()) % 2]
-        keeper = state.node if state.node in names else other
-        caps._follow(state, ids.NodeId(keeper), out)
-        if keeper == state.node:
+        allocator = state.node if state.node in names else other
+        caps._set_allocator(state, ids.NodeId(allocator), out)
+        if allocator == state.node:
             state.caps.stamp = state.now
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(caps, "_choose_keeper", by_name)
+        patch.setattr(caps, "_choose_allocator", by_name)
         cap = _workspace(60.0)
         made = capped.Deployment(cap, nodes=10)
         _flood(made, cap, 8.0)
@@ -221,77 +222,77 @@
     _check_bound(made, cap)
 
 
-def test_two_nodes_that_each_take_themselves_for_the_keeper_hold_the_cap() -> None:
-    several_keepers_hold_the_cap()
+def test_two_nodes_that_both_act_as_allocator_hold_the_cap() -> None:
+    check_cap_with_several_allocators()
 
 
-def _of_keeper(made: capped.Deployment) -> str:
+def _current_allocator(made: capped.Deployment) -> str:
     return str(next(iter(made.world.nodes.values())).state.caps.allocator)
 
 
-def test_a_keeper_that_stops_leaves_the_caps_to_the_next_without_a_gap() -> None:
+def test_an_allocator_that_stops_hands_over_without_a_gap() -> None:
     cap = _workspace(50.0)
     made = capped.Deployment(cap, nodes=9)
-    keeper = _of_keeper(made)
-    others = [name for name in made.names if name != keeper]
+    allocator = _current_allocator(made)
+    others = [name for name in made.names if name != allocator]
     made.load("shop", others, rate=50.0 * USUAL_SHARE, duration_ms=12_000.0)
     made.world.run(6_000.0)
-    made.world.apply(keeper, events.StopRequested(now=made.world.now))
+    made.world.apply(allocator, events.StopRequested(now=made.world.now))
     made.world.run(3_500.0)
-    made.world.kill(keeper)
+    made.world.kill(allocator)
     made.world.run(500.0)
-    made.world.restart(keeper)
+    made.world.restart(allocator)
     made.world.run(2_500.0)
-    assert _of_keeper(made) != keeper
+    assert _current_allocator(made) != allocator
     assert _served(made) >= SERVED_BELOW
 
 
-def test_a_keeper_that_stops_in_a_flood_leaves_what_was_let_pass() -> None:
+def test_an_allocator_that_stops_in_a_flood_hands_over_the_usage() -> None:
     cap = _workspace(60.0)
     made = capped.Deployment(cap, nodes=9)
     _flood(made, cap, 12.0)
     made.world.run(6_000.0)
-    keeper = _of_keeper(made)
-    made.world.apply(keeper, events.StopRequested(now=made.world.now))
+    allocator = _current_allocator(made)
+    made.world.apply(allocator, events.StopRequested(now=made.world.now))
     made.world.run(6_000.0)
     _check_bound(made, cap)
 
 
-def test_a_node_that_comes_back_does_not_take_the_caps_again() -> None:
+def test_an_allocator_that_restarts_does_not_become_it_again() -> None:
     made = capped.Deployment(_workspace(50.0), nodes=9)
     made.world.run(4_000.0)
-    first = _of_keeper(made)
+    first = _current_allocator(made)
     made.world.kill(first)
     made.world.run(2_000.0)
-    second = _of_keeper(made)
+    second = _current_allocator(made)
     assert second != first
     made.world.restart(first)
     made.world.run(15_000.0)
-    keepers = {node.state.caps.allocator for node in made.world.nodes.values()}
-    assert keepers == {second}
+    allocators = {node.state.caps.allocator for node in made.world.nodes.values()}
+    assert allocators == {second}
 
 
-def _keeper() -> states.State:
+def _allocator_state() -> states.State:
     state = keyed.node_state(_workspace(10.0))
     builders.add_members(state, builders.member("a", "plans"))
     return state
 
 
-def _asked(number: int, stamp: float) -> messages.CapRequest:
+def _request(number: int, stamp: float) -> messages.CapRequest:
     return messages.CapRequest(number=number, stamp=stamp, demands=())
 
 
-def test_a_question_of_before_a_standstill_of_the_keeper_lends_nothing() -> None:
-    state = _keeper()
-    stamp = cap_allocator.grant(state, "a", _asked(1, 0.0)).stamp
+def test_a_request_from_before_a_pause_of_the_allocator_delegates_nothing() -> None:
+    state = _allocator_state()
+    stamp = cap_allocator.grant(state, "a", _request(1, 0.0)).stamp
     state.now += cap_allocator.TERM_MS + 1.0
-    cap_allocator.grant(state, "a", _asked(2, stamp))
+    cap_allocator.grant(state, "a", _request(2, stamp))
     assert cap_allocator.current_share(state) == 0.0
 
 
 def test_a_member_that_is_gone_still_owns_its_part() -> None:
-    """It may be at work on the other side of a parted network."""
-    state = _keeper()
+    """It may still be running on the other side of a partition."""
+    state = _allocator_state()
     before = member_order.cap_sharer_count(state)
     gone = builders.member("a", "plans")
     fields = {name: getattr(gone, name) for name in gone.__struct_fields__}
@@ -300,19 +301,19 @@
     assert member_order.cap_sharer_count(state) == before
 
 
-def test_a_keeper_forgets_workspaces_that_ask_for_nothing_any_more() -> None:
+def test_an_allocator_drops_workspaces_without_demand() -> None:
     made = capped.Deployment(_workspace(50.0), nodes=3)
     made.load("shop", made.names, rate=20.0, duration_ms=1_000.0)
     made.world.run(1_000.0)
-    keeper = made.world.nodes[_of_keeper(made)].state.cap_allocator
-    assert keeper.windows and keeper.grants
+    allocator = made.world.nodes[_current_allocator(made)].state.cap_allocator
+    assert allocator.windows and allocator.grants
     made.world.run(12_000.0)
-    assert not keeper.windows
-    assert not keeper.grants
+    assert not allocator.windows
+    assert not allocator.grants
 
 
 def test_a_member_that_left_owns_nothing() -> None:
-    state = _keeper()
+    state = _allocator_state()
     before = member_order.cap_sharer_count(state)
     leaving = builders.member("a", "plans")
     fields = {name: getattr(leaving, name) for name in leaving.__struct_fields__}
@@ -321,7 +322,7 @@
     assert member_order.cap_sharer_count(state) == before - 1
 
 
-def test_leases_of_a_suspended_node_have_ended_when_it_wakes() -> None:
+def test_leases_expire_while_a_node_is_suspended() -> None:
     state = keyed.node_state(_workspace(10.0), upstream=False)
     for _ in range(20):
         _tick(state, 100.0)
@@ -339,7 +340,7 @@
 Step = collections.abc.Callable[[capped.Deployment, random.Random], None]
 
 
-def _part(made: capped.Deployment, chance: random.Random) -> None:
+def _partition(made: capped.Deployment, chance: random.Random) -> None:
     made.part(set(chance.sample(made.names, chance.randint(1, len(made.names) - 1))))
 
 
@@ -354,18 +355,18 @@
         made.world.at(600.0, lambda: made.world.restart(name))
 
 
-def _stop_keeper(made: capped.Deployment, chance: random.Random) -> None:
-    keeping = [
+def _stop_allocator(made: capped.Deployment, chance: random.Random) -> None:
+    allocators = [
         n for n in made.world.nodes.values() if n.state.cap_allocator.delegations
     ]
-    name = keeping[0].name if keeping else ""
-    if keeping and keeping[0].alive:
+    name = allocators[0].name if allocators else ""
+    if allocators and allocators[0].alive:
         made.world.apply(name, events.StopRequested(now=made.world.now))
         made.world.at(3_200.0, lambda: made.world.kill(name))
         made.world.at(4_000.0, lambda: made.world.restart(name))
 
 
-def _stand_still(made: capped.Deployment, chance: random.Random) -> None:
+def _stall(made: capped.Deployment, chance: random.Random) -> None:
     made.world.pause(chance.choice(made.names), chance.uniform(200.0, 3_000.0))
 
 
@@ -379,18 +380,18 @@
 
 
 STEPS: dict[str, Step] = {
-    "part": _part,
+    "part": _partition,
     "merge": _merge,
     "restart": _restart,
-    "stand still": _stand_still,
-    "stop the keeper": _stop_keeper,
+    "stall": _stall,
+    "stop the allocator": _stop_allocator,
     "move": _move,
     "spread": _spread,
 }
 
 
 def check_random_troubles(seed: int, steps: list[str], *, rate: float) -> None:
-    """Play troubles and floods at random moments; the cap holds in each window."""
+    """Inject faults and floods at random times; check the cap in each window."""
     chance = random.Random(seed)
     cap = _workspace(rate)
     made = capped.Deployment(cap, nodes=6, seed=seed)
@@ -419,26 +420,25 @@
         (
             65,
             8.0,
-            "restart,restart,restart,stop the keeper,stand still,merge,spread,"
-            "stand still,stop the keeper,stop the keeper,spread",
+            "restart,restart,restart,stop the allocator,stall,merge,spread,"
+            "stall,stop the allocator,stop the allocator,spread",
         ),
         (
             98,
             30.0,
-            "move,stop the keeper,spread,stop the keeper,restart,stand still,merge,"
-            "stop the keeper,merge,spread",
+            "move,stop the allocator,spread,stop the allocator,restart,stall,merge,"
+            "stop the allocator,merge,spread",
         ),
     ],
 )
-def test_the_cap_holds_where_keepers_stop_one_after_the_other(
+def test_the_cap_holds_where_allocators_stop_one_after_the_other(
     seed: int, rate: float, steps: str
 ) -> None:
-    """Seen: a keeper left the caps to a node that was stopping as well, which took them
-    up again without what had been let pass."""
+    """Guards against usage lost in a handover to a node that is stopping too."""
     check_random_troubles(seed, steps.split(","), rate=rate)
 
 
-def test_the_cap_holds_where_keepers_are_lost_in_a_flood() -> None:
+def test_the_cap_holds_where_allocators_are_lost_in_a_flood() -> None:
     steps = ["spread", "move", "spread", "part", "spread", "move"]
     check_random_troubles(7, steps * 2, rate=30.0)
 
@@ -447,9 +447,8 @@
 def test_busy_nodes_that_answer_late_hold_the_cap_and_use_it(
     lag_ms: tuple[float, float], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Seen on nodes at the end of their processor: questions for requests that waited
-    were put again each 10 ms, answered by tokens each time, and the keeper had still
-    more to answer. A window was passed by more than is allowed."""
+    """Guards against requests for waiting calls that are repeated before their answer
+    and granted tokens each time, so that busy nodes exceed the cap."""
     chance = random.Random(1)
     monkeypatch.setattr(links, "_delay", lambda *_: chance.uniform(*lag_ms))
     cap = _workspace(120.0)
@@ -461,11 +460,11 @@
         made.world.run(2_000.0)
     _check_bound(made, cap)
     if lag_ms[1] < 100.0:
-        # Beyond that answers take as long as requests wait for them.
+        # With more delay, answers take longer than calls wait for them.
         assert len(made.passed["shop"]) >= 0.75 * 120.0 * 15.0
 
 
-def test_what_is_taken_back_is_taken_from_where_it_was_counted() -> None:
+def test_refunds_are_taken_from_the_slices_that_were_charged() -> None:
     state = keyed.node_state(_workspace(10.0))
     window = states.CapWindow()
     cap_window.charge(state, window, 5.0)
@@ -478,7 +477,7 @@
     assert cap_window.remaining(state, window, _workspace(10.0)) == whole
 
 
-def test_without_caps_nobody_is_asked() -> None:
+def test_without_caps_no_leases_are_requested() -> None:
     state = routed.node_state()
     builders.add_members(state, builders.member("a", "plans"))
     for _ in range(20):
--- a/tests/cover/test_deadly_requests.py
+++ b/tests/cover/test_deadly_requests.py
@@ -1,14 +1,7 @@
-"""Requests that end each backend server that runs them.
-
-Seen: all upstreams of one service ended within 0.4 s out of calm, came back after a
-second and ended again, 26 times in 17 s; every request of that service failed
-meanwhile, of the others none. How it came about: one request, the same each time but
-for its id, was sent by its callers again and again, through any node, and each node
-sent it on to the next upstream when the one before was lost. Cause: a node knew a
-request by its id alone, held each lost run against the upstream, and could not tell the
-end of a backend server from the end of a connection. Proof: the fingerprints of the
-calls that were under way at each end have one in common, and with that one kept out the
-service goes on.
+"""Quarantine of requests that crash each backend server that runs them.
+
+Guards against a request that its callers and the nodes retry until it has crashed all
+upstreams of a service.
 """
 
 from gingerturn.internal.core import effects
@@ -16,17 +9,17 @@
 from tests.common import small
 
 DEADLY = parts.KindSpec("plan-status", "plans", "GET", "/status/9c2f")
-ENDS_ALLOWED = 3
+CRASHES_ALLOWED = 3
 KNOWN_AFTER_MS = 3_000.0
-"""By when every node must know of a third end."""
+"""By when every node must know of a third crash."""
 
-LATE_SENDINGS = 3
+LATE_RUNS_ALLOWED = 3
 
 
 class Watch:
-    """Counts the runs of one request, and how others fare.
+    """Counts the runs of the deadly requests, and collects the answers to all others.
 
-    :param made: the world to watch; its hooks are taken over.
+    :param made: the world to watch; its hooks are replaced.
     """
 
     def __init__(self, made: world.World) -> None:
@@ -42,15 +35,15 @@
 
     @property
     def late_runs(self) -> int:
-        """Runs later than a node may take to hear of the third end."""
-        if len(self.runs) < ENDS_ALLOWED:
+        """Runs after the time by which all nodes must know of the third crash."""
+        if len(self.runs) < CRASHES_ALLOWED:
             return 0
-        bound = self.runs[ENDS_ALLOWED - 1] + KNOWN_AFTER_MS
+        bound = self.runs[CRASHES_ALLOWED - 1] + KNOWN_AFTER_MS
         return sum(1 for run in self.runs if run > bound)
 
 
 def deadly_world(*, seed: int, upstreams: int = 5) -> world.World:
-    """Return a service of lookups, and a path that ends its backend servers."""
+    """Return a world in which one path crashes the backend servers of a service."""
     made = world.World(
         seed=seed,
         services=[
@@ -68,8 +61,8 @@
 def send_every(
     made: world.World, kind: parts.KindSpec, *, pause: float, until: float
 ) -> None:
-    """Send requests of a kind through random nodes; each path but a deadly one is
-    another."""
+    """Send requests of a kind through random nodes, with a unique path each unless it
+    is a deadly one."""
 
     def send() -> None:
         if made.now >= until:
@@ -86,7 +79,7 @@
 
 
 def _storm(seed: int) -> tuple[world.World, Watch]:
-    """Play calm, then a deadly request that comes again and again."""
+    """Run normal traffic, then repeat a deadly request."""
     made = deadly_world(seed=seed)
     watch = Watch(made)
     send_every(made, small.KINDS["plan-status"], pause=10.0, until=made.now + 20_000)
@@ -99,47 +92,47 @@
 def test_a_request_that_ends_backend_servers_stops_reaching_them() -> None:
     for seed in (1, 2, 3):
         _, watch = _storm(seed)
-        assert len(watch.runs) >= ENDS_ALLOWED
-        assert watch.late_runs <= LATE_SENDINGS, seed
+        assert len(watch.runs) >= CRASHES_ALLOWED
+        assert watch.late_runs <= LATE_RUNS_ALLOWED, seed
 
 
 def test_other_requests_are_served_while_it_comes_again() -> None:
     for seed in (1, 2, 3):
         made, watch = _storm(seed)
-        known = watch.runs[ENDS_ALLOWED - 1] + KNOWN_AFTER_MS
+        known = watch.runs[CRASHES_ALLOWED - 1] + KNOWN_AFTER_MS
         roots = [root for root in watch.answers if root.sent > known]
         others = [root for root in roots if root.kind.path not in made.deadly_paths]
         served = sum(1 for root in others if root.answer == "ok")
         assert served >= 0.99 * len(others), seed
 
 
-def test_homes_of_a_large_service_know_of_each_others_ends() -> None:
-    # Each of the 15 homes alone would wait for a third end of its own.
+def test_home_nodes_of_a_large_service_share_their_crashes() -> None:
+    # No home node sees three crashes of its own in time.
     made = deadly_world(seed=1, upstreams=15)
     watch = Watch(made)
     send_every(made, small.KINDS["plan-status"], pause=10.0, until=made.now + 9_000)
     made.run(1_000)
     send_every(made, DEADLY, pause=300.0, until=made.now + 7_000)
     made.run(8_000)
-    assert len(watch.runs) >= ENDS_ALLOWED
-    assert watch.late_runs <= LATE_SENDINGS
+    assert len(watch.runs) >= CRASHES_ALLOWED
+    assert watch.late_runs <= LATE_RUNS_ALLOWED
 
 
-def test_what_was_under_way_at_each_end_tells_the_request() -> None:
+def test_the_log_line_of_each_crash_names_the_request() -> None:
     made = deadly_world(seed=1)
     lines: list[str] = []
 
-    def note(node: parts.FakeNode, effect: effects.Effect) -> None:
-        if isinstance(effect, effects.WriteLog) and " ended with " in effect.text:
+    def record(node: parts.FakeNode, effect: effects.Effect) -> None:
+        if isinstance(effect, effects.WriteLog) and " crashed with " in effect.text:
             lines.append(effect.text)
 
-    made.on_effect = note
+    made.on_effect = record
     send_every(made, small.KINDS["plan-status"], pause=10.0, until=made.now + 4_000)
     send_every(made, DEADLY, pause=150.0, until=made.now + 1_000)
     made.run(4_000)
-    told = parts.fingerprint(DEADLY.service, DEADLY.method, DEADLY.path)
-    assert len(lines) >= ENDS_ALLOWED
-    assert all(f"{told:012x}" in line for line in lines)
+    fingerprint = parts.fingerprint(DEADLY.service, DEADLY.method, DEADLY.path)
+    assert len(lines) >= CRASHES_ALLOWED
+    assert all(f"{fingerprint:012x}" in line for line in lines)
 
 
 def _send_through(made: world.World, entry: str) -> parts.Root:
@@ -150,14 +143,14 @@
     return root
 
 
-def _send_until_kept_out(made: world.World, watch: Watch) -> int:
+def _send_until_quarantined(made: world.World, watch: Watch) -> int:
     """Send the deadly request through three nodes; return how often it ran."""
     for entry in ("porting-1", "porting-2", "porting-3"):
         _send_through(made, entry)
     return len(watch.runs)
 
 
-def test_a_node_that_was_cut_off_meanwhile_keeps_it_out() -> None:
+def test_a_node_that_was_partitioned_meanwhile_refuses_it() -> None:
     made = deadly_world(seed=4)
     watch = Watch(made)
     apart = "porting-1"
@@ -170,15 +163,15 @@
     made.cut = set()
     made.run(5_000)
     before = len(watch.runs)
-    assert before >= ENDS_ALLOWED
+    assert before >= CRASHES_ALLOWED
     assert _send_through(made, apart).answer == "not-run"
     assert len(watch.runs) == before
 
 
-def test_a_node_that_started_since_keeps_it_out() -> None:
+def test_a_node_that_started_since_refuses_it() -> None:
     made = deadly_world(seed=5)
     watch = Watch(made)
-    before = _send_until_kept_out(made, watch)
+    before = _send_until_quarantined(made, watch)
     made.kill("porting-1")
     made.run(1_000)
     made.restart("porting-1")
@@ -187,10 +180,10 @@
     assert len(watch.runs) == before
 
 
-def test_it_stays_kept_out_when_all_nodes_start_anew_at_once() -> None:
+def test_it_stays_quarantined_when_all_nodes_restart_at_once() -> None:
     made = deadly_world(seed=6)
     watch = Watch(made)
-    before = _send_until_kept_out(made, watch)
+    before = _send_until_quarantined(made, watch)
     for name in made.nodes:
         made.kill(name)
     made.run(1_000)
@@ -201,8 +194,8 @@
     assert len(watch.runs) == before
 
 
-def test_a_service_lost_at_once_comes_back_whatever_was_under_way() -> None:
-    # All that was ever sent is one popular request, and it is under way in every end.
+def test_a_service_that_crashed_as_a_whole_recovers() -> None:
+    # One popular request is in progress in every crash.
     made = deadly_world(seed=7)
     made.deadly_paths.clear()
     watch = Watch(made)
@@ -225,15 +218,15 @@
     assert served >= 0.99 * len(watch.answers)
 
 
-def test_several_deadly_requests_at_a_time_are_kept_out_each() -> None:
+def test_several_deadly_requests_at_a_time_are_each_quarantined() -> None:
     made = deadly_world(seed=8)
     runs: dict[str, list[float]] = {}
 
-    def note(node: parts.FakeNode, work: parts.Work) -> None:
+    def record(node: parts.FakeNode, work: parts.Work) -> None:
         if work.path in made.deadly_paths:
             runs.setdefault(work.path, []).append(made.now)
 
-    made.on_execution = note
+    made.on_execution = record
     send_every(made, small.KINDS["plan-status"], pause=10.0, until=made.now + 20_000)
     made.run(1_000)
     for number in range(3):
@@ -243,11 +236,13 @@
         send_every(made, kind, pause=400.0, until=made.now + 15_000)
     made.run(19_000)
     for found in runs.values():
-        late = [run for run in found if run > found[ENDS_ALLOWED - 1] + KNOWN_AFTER_MS]
-        assert len(late) <= LATE_SENDINGS
+        late = [
+            run for run in found if run > found[CRASHES_ALLOWED - 1] + KNOWN_AFTER_MS
+        ]
+        assert len(late) <= LATE_RUNS_ALLOWED
 
 
-def test_a_deadly_call_deeper_in_the_tree_leaves_its_callers_service_alone() -> None:
+def test_a_deadly_child_call_does_not_crash_the_service_of_its_caller() -> None:
     made = small.new_world(seed=9, gossip=True)
     made.deadly_paths.add("/view/9c2f")
     spec = made.services["plans"]
@@ -256,7 +251,7 @@
     root = small.KINDS["plan-status"]
     send_every(made, root, pause=200.0, until=made.now + 10_000)
     made.run(11_000)
-    assert watch.late_runs <= LATE_SENDINGS
-    ends = {name: node.backend.ends for name, node in made.nodes.items()}
-    assert not any(count for name, count in ends.items() if name.startswith("plans"))
-    assert sum(ends.values()) <= ENDS_ALLOWED + LATE_SENDINGS
+    assert watch.late_runs <= LATE_RUNS_ALLOWED
+    crashes = {name: node.backend.ends for name, node in made.nodes.items()}
+    assert not any(count for name, count in crashes.items() if name.startswith("plans"))
+    assert sum(crashes.values()) <= CRASHES_ALLOWED + LATE_RUNS_ALLOWED
--- a/tests/cover/test_freshness.py
+++ b/tests/cover/test_freshness.py
@@ -1,7 +1,7 @@
-"""Keys that are taken away cease to work in time, also where nobody can be asked.
+"""Revocation of API keys within the configured time, also at isolated nodes.
 
-The pattern: a key is taken away a moment before a node is cut off from the log, from
-the members or from both, stands still or is suspended with requests in its sockets.
+Guards against revoked keys that still work at a node that is partitioned from the log,
+the members or both, is paused, or is suspended with requests in its sockets.
 """
 
 import pytest
@@ -22,7 +22,7 @@
 from tests.common import builders, keyed, routed
 
 ALLOWED_MS = keyed.REVOKE_MS - 1_000.0
-"""Nothing is let in by then, a second before operators count it as broken."""
+"""Keys are refused from this age on, a second before the configured time."""
 
 
 def _node() -> states.State:
@@ -37,7 +37,7 @@
     return refused[0].status if refused else 0
 
 
-def test_a_node_that_hears_nothing_lets_no_key_in_after_the_time_allowed() -> None:
+def test_an_isolated_node_refuses_keys_after_the_time_allowed() -> None:
     state = _node()
     state.now += ALLOWED_MS
     assert _status(state) == 0
@@ -45,13 +45,13 @@
     assert _status(state) == 503
 
 
-def test_without_a_bound_a_node_that_is_cut_off_goes_on() -> None:
+def test_without_a_bound_an_isolated_node_accepts_keys() -> None:
     state = keyed.node_state()
     state.now += 60_000.0
     assert _status(state) == 0
 
 
-def test_an_unknown_key_is_not_told_so_by_a_node_that_knows_nothing_newer() -> None:
+def test_a_stale_node_does_not_refuse_a_key_as_unknown() -> None:
     state = _node()
     state.now += ALLOWED_MS + 1.0
     assert _status(state, "never") == 503
@@ -74,7 +74,7 @@
     assert freshness.age(state) == pytest.approx(2_900.0)
 
 
-def test_a_read_held_open_for_news_proves_that_there_were_none_meanwhile() -> None:
+def test_a_long_poll_proves_that_there_was_no_record_meanwhile() -> None:
     state = _node()
     asked = state.now
     state.now += 1_010.0
@@ -110,7 +110,7 @@
 
 
 def _newest(state: states.State, version: int, *, epoch: int) -> None:
-    """Let a node read the newest table of a log."""
+    """Apply a base read of the route table."""
     table = keyed.table(version=version)
     read = events.NewestRead(
         now=state.now,
@@ -124,8 +124,8 @@
     reducer.reduce(state, read)
 
 
-# Guards against keys that were taken away and work again, since a log that lost the
-# table without them was believed to hold the newest.
+# Guards against revoked keys that work again after the log was restored to a table that
+# still contains them.
 def test_a_log_that_lost_the_table_in_force_proves_nothing_until_it_has_a_later() -> (
     None
 ):
@@ -148,10 +148,10 @@
     assert freshness.age(state) == 0.0
 
 
-def test_a_log_that_lacks_what_a_member_told_of_proves_nothing() -> None:
+def test_a_log_that_lacks_a_version_that_a_member_reported_proves_nothing() -> None:
     state = _node()
     _newest(state, 2, epoch=5)
-    reducer.reduce(state, builders.datagram("home", _word(0, version=3)))
+    reducer.reduce(state, builders.datagram("home", _answer(0, version=3)))
     state.now += 1_000.0
     proven = state.freshness.verified_at
     _newest(state, 2, epoch=6)
@@ -176,18 +176,18 @@
     assert state.freshness.verified_at == proven
 
 
-def _asked(state: states.State) -> int:
-    """Let time pass until a member is asked; return the number of the question."""
+def _query(state: states.State) -> int:
+    """Advance a node until it queries a member; return the sequence number."""
     for _ in range(30):
         state.now += 100.0
         out = reducer.reduce(state, events.Tick(now=state.now))
         for sent in builders.all_of(out, effects.SendGossip):
             if sent.message.sequence in state.membership.probes:
                 return sent.message.sequence
-    raise AssertionError("nobody was asked")
+    raise AssertionError("no member was queried within 3 s")
 
 
-def _word(sequence: int, *, version: int = 1, age: float = 0.0) -> messages.Gossip:
+def _answer(sequence: int, *, version: int = 1, age: float = 0.0) -> messages.Gossip:
     return messages.Gossip(
         kind=messages.GossipKind.ACK,
         sequence=sequence,
@@ -197,35 +197,35 @@
     )
 
 
-def test_a_members_word_counts_from_the_question_however_late_it_comes() -> None:
+def test_an_answer_is_dated_by_its_query_however_late_it_arrives() -> None:
     state = _node()
-    sequence = _asked(state)
+    sequence = _query(state)
     asked = state.now
     state.now += 600.0
     reducer.reduce(
-        state, builders.datagram("home", _word(sequence, age=300.0), now=state.now)
+        state, builders.datagram("home", _answer(sequence, age=300.0), now=state.now)
     )
     assert state.freshness.verified_at - asked == pytest.approx(-300.0)
 
 
-@pytest.mark.parametrize("word", [{"version": 2}, {"age": -1.0}])
-def test_a_word_on_a_later_table_or_without_evidence_proves_nothing(
-    word: dict[str, float],
+@pytest.mark.parametrize("fields", [{"version": 2}, {"age": -1.0}])
+def test_an_answer_for_a_later_table_or_without_evidence_proves_nothing(
+    fields: dict[str, float],
 ) -> None:
     state = _node()
     before = state.freshness.verified_at
-    sequence = _asked(state)
-    told = _word(sequence, **word)  # type: ignore[arg-type]
-    reducer.reduce(state, builders.datagram("home", told, now=state.now))
+    sequence = _query(state)
+    answer = _answer(sequence, **fields)  # type: ignore[arg-type]
+    reducer.reduce(state, builders.datagram("home", answer, now=state.now))
     assert state.freshness.verified_at == before
 
 
-def test_a_word_that_nobody_asked_for_proves_nothing() -> None:
+def test_an_unsolicited_report_proves_nothing() -> None:
     state = _node()
     before = state.freshness.verified_at
     state.now += 1_000.0
-    unasked = _word(123_456)
-    reducer.reduce(state, builders.datagram("home", unasked, now=state.now))
+    unsolicited = _answer(123_456)
+    reducer.reduce(state, builders.datagram("home", unsolicited, now=state.now))
     ping = messages.Gossip(
         kind=messages.GossipKind.PING,
         sequence=5,
@@ -237,15 +237,15 @@
     assert state.freshness.verified_at == before
 
 
-def test_a_node_that_wakes_with_requests_waiting_lets_none_of_them_in() -> None:
-    """Its machine was suspended: what was asked before, and answered meanwhile, lies
-    in its sockets beside requests that were sent long after the key was gone."""
+def test_a_node_that_resumes_refuses_the_requests_in_its_sockets() -> None:
+    """After a suspension, its sockets hold answers to queries from before it beside
+    requests that were sent after the revocation."""
     state = _node()
-    sequence = _asked(state)
+    sequence = _query(state)
     state.now += 30_000.0
     assert _status(state) == 503
     reducer.reduce(state, events.Tick(now=state.now))
-    late = builders.datagram("home", _word(sequence), now=state.now)
+    late = builders.datagram("home", _answer(sequence), now=state.now)
     reducer.reduce(state, late)
     assert _status(state) == 503
 
@@ -297,7 +297,9 @@
 
 
 @pytest.mark.parametrize("count", [3, 15, 68])
-def test_in_calm_nothing_is_closed_and_few_read_the_log(count: int) -> None:
+def test_in_normal_operation_no_keys_are_refused_and_few_nodes_read_the_log(
+    count: int,
+) -> None:
     made = _deployment(count)
     reads: list[str] = []
     made.on_effect = lambda node, effect: (
@@ -310,14 +312,14 @@
 
 
 @pytest.mark.parametrize("count", [3, 15, 68])
-def test_when_the_log_is_silent_all_are_closed_in_time_and_open_soon_after(
+def test_when_the_log_is_silent_all_nodes_refuse_keys_in_time_and_recover(
     count: int,
 ) -> None:
     made = _deployment(count)
     made.log.silent = True
-    fell_silent = made.now
+    silent_from = made.now
     made.run(ALLOWED_MS + 50.0)
-    assert made.now - fell_silent < keyed.REVOKE_MS
+    assert made.now - silent_from < keyed.REVOKE_MS
     assert min(_ages(made)) > ALLOWED_MS
     made.run(3_000.0)
     made.log.silent = False
@@ -325,7 +327,7 @@
     assert max(_ages(made)) < ALLOWED_MS
 
 
-def test_a_node_refused_by_the_log_lives_by_what_members_tell() -> None:
+def test_a_node_refused_by_the_log_relies_on_its_members() -> None:
     made = _deployment(15)
     made.log.refuses = set(sorted(made.nodes)[::3])
     assert _worst(made, 10_000.0) < ALLOWED_MS
@@ -339,7 +341,7 @@
     assert _worst(made, 10_000.0) < ALLOWED_MS
 
 
-def test_a_node_cut_off_from_members_lives_by_its_own_reads() -> None:
+def test_a_node_partitioned_from_members_relies_on_its_own_reads() -> None:
     made = _deployment(15)
     alone = "plans-4"
     for name in made.nodes:
@@ -347,7 +349,7 @@
     assert _worst(made, 10_000.0) < ALLOWED_MS
 
 
-def test_a_node_cut_off_from_all_is_closed_in_time_and_open_soon_after() -> None:
+def test_an_isolated_node_refuses_keys_in_time_and_recovers() -> None:
     made = _deployment(15)
     alone = made.nodes["plans-4"]
     for name in made.nodes:
@@ -362,7 +364,7 @@
     assert not freshness.is_stale(alone.state)
 
 
-def test_the_first_node_may_stand_still_or_end() -> None:
+def test_the_first_node_may_pause_or_crash() -> None:
     made = _deployment(15)
     first = next(n.name for n in made.nodes.values() if member_order.is_first(n.state))
     made.pause(first, 8_000.0)
--- a/tests/cover/test_words_of_other_writers.py
+++ b/tests/cover/test_malformed_input.py
@@ -1,8 +1,7 @@
-"""Entries of the store and reports of upstreams that others wrote.
+"""Malformed entries of the store, heartbeats, settings and datagrams.
 
-The pattern: a job of another team writes to the members' topic, and something else than
-the backend server posts to the address for its heartbeats. What it wrote names nothing
-to use; the entries beside it hold, and nothing stops reading.
+Guards against one invalid entry, for example from another writer to the same topic,
+that stops reading or invalidates the entries beside it.
 """
 
 import asyncio
@@ -171,27 +170,27 @@
     inner = beat
     for name in outer:
         inner = inner[name]
-    if value is _GONE:
+    if value is _MISSING:
         del inner[last]
     else:
         inner[last] = value
     return typing.cast(dict[str, typing.Any], beat)
 
 
-_GONE = object()
+_MISSING = object()
 BAD_BEATS = [
-    ("address", _GONE),
+    ("address", _MISSING),
     ("address", 5),
     ("address", "host.example:80"),
     ("address", "10.0.0.7"),
-    ("node_info", _GONE),
+    ("node_info", _MISSING),
     ("node_info", []),
-    ("node_info.service_name", _GONE),
+    ("node_info.service_name", _MISSING),
     ("node_info.service_name", "other-teams"),
     ("node_info.service_name", 4),
     ("node_info.slots", "9"),
     ("node_info.slots", -1),
-    ("status.state", _GONE),
+    ("status.state", _MISSING),
     ("status.state", "starting"),
     ("status.state", None),
     ("status.sequence", "4"),
@@ -207,7 +206,7 @@
 
 
 @pytest.mark.parametrize(("place", "value"), BAD_BEATS)
-def test_a_report_of_another_writer_does_not_put_the_upstream_out(
+def test_an_invalid_heartbeat_does_not_change_the_backend_server(
     place: str, value: object
 ) -> None:
     node = _node_with_routes(("plans", "porting"))
@@ -241,7 +240,7 @@
 
 
 def _mangled(good: object) -> st.SearchStrategy[bytes]:
-    """Return documents in which any one value was put to something else."""
+    """Return documents in which one value is replaced."""
     whole = json.dumps(good)
 
     def put(place: int, value: object) -> bytes:
--- a/tests/cover/test_standstill.py
+++ b/tests/cover/test_process_pauses.py
@@ -1,7 +1,7 @@
-"""A machine that is suspended, a process that is stopped: time that a node misses.
+"""Pauses of a process or its machine.
 
-The pattern: a virtual machine is moved or paused for seconds. The monotonic clock does
-not count that time, callers and peers do.
+Guards against timeouts that expire for other nodes during a pause, and deadlines of
+callers that do not, as with a migrated virtual machine whose monotonic clock stops.
 """
 
 import time
@@ -57,23 +57,23 @@
     return state
 
 
-def _stand_still(state: states.State) -> list[effects.Effect]:
+def _pause(state: states.State) -> list[effects.Effect]:
     return reducer.reduce(state, events.Tick(now=state.now + SUSPENDED_MS))
 
 
-def test_a_node_that_stood_still_suspects_nobody_for_it() -> None:
+def test_a_node_suspects_no_member_because_of_its_own_pause() -> None:
     state = _probing()
-    _stand_still(state)
+    _pause(state)
     assert not state.membership.suspected
     builders.passed(state, membership.SUSPECT_AFTER_MS + timers.GRID_MS)
     assert state.membership.suspected
 
 
-def test_whom_it_suspected_before_is_not_gone_for_it() -> None:
+def test_a_member_suspected_before_a_pause_is_not_declared_gone() -> None:
     state = _probing()
     builders.passed(state, membership.SUSPECT_AFTER_MS + timers.GRID_MS)
     suspected = set(state.membership.suspected)
-    _stand_still(state)
+    _pause(state)
     assert suspected
     assert not suspected & set(state.membership.gone)
 
@@ -81,23 +81,23 @@
 def test_callers_deadlines_have_passed_meanwhile() -> None:
     state = _probing()
     reducer.reduce(state, routed.arrived(1, now=state.now))
-    out = _stand_still(state)
+    out = _pause(state)
     assert builders.only(out, effects.RefuseCall).status == 504
 
 
-def test_the_backend_server_beside_it_is_still_there() -> None:
+def test_the_backend_server_is_still_present_after_a_pause() -> None:
     state = routed.node_state(service="plans")
     builders.passed(state, 5_000.0)
-    _stand_still(state)
+    _pause(state)
     assert state.backend.present
     builders.passed(state, 5_000.0 + 2 * timers.GRID_MS)
     assert not state.backend.present
 
 
-def test_a_busy_node_that_ticks_late_is_none_that_stood_still() -> None:
+def test_a_late_tick_of_a_busy_node_is_no_pause() -> None:
     state = _probing()
-    late = state.now + pause_detection.STOOD_STILL_MS - 1.0
+    late = state.now + pause_detection.PAUSE_THRESHOLD_MS - 1.0
     out = reducer.reduce(state, events.Tick(now=late))
-    told = builders.all_of(out, effects.WriteLog)
-    assert not any("stood still" in line.text for line in told)
+    lines = builders.all_of(out, effects.WriteLog)
+    assert not any("paused" in line.text for line in lines)
     assert ids.Milliseconds(late) == state.last_tick_at
--- a/tests/cover/test_workspace_use.py
+++ b/tests/cover/test_workspace_use.py
@@ -1,4 +1,4 @@
-"""What operators see of workspaces: metrics, the command, log lines."""
+"""Usage of workspaces in metrics, the command line and log lines."""
 
 import pathlib
 
@@ -30,10 +30,10 @@
 
 
 def test_metrics_count_the_first_workspaces_and_all_others_together() -> None:
-    names = [f"w{number}" for number in range(caps.MAX_COUNTED + 50)]
+    names = [f"w{number}" for number in range(caps.MAX_COUNTED_WORKSPACES + 50)]
     found = metrics_text.parse(_page(*names, requests=1), origin="a page")
-    assert len(found.workspaces) == caps.MAX_COUNTED + 1
-    assert found.workspaces[caps.OTHERS]["workspace_passed_total"] == 50.0
+    assert len(found.workspaces) == caps.MAX_COUNTED_WORKSPACES + 1
+    assert found.workspaces[caps.OTHER_WORKSPACES]["workspace_passed_total"] == 50.0
 
 
 def test_a_workspace_of_any_name_can_be_read_back() -> None:
@@ -48,22 +48,22 @@
         page = tmp_path / f"page{number}"
         page.write_text(_page("shop"))
         sources += ["--metrics", str(page)]
-    told = testing.CliRunner().invoke(main.cli, ["workspaces", *sources])
-    assert told.exit_code == 0, told.output
-    assert told.output.splitlines()[1].split() == ["shop", "6", "0", "-"]
+    result = testing.CliRunner().invoke(main.cli, ["workspaces", *sources])
+    assert result.exit_code == 0, result.output
+    assert result.output.splitlines()[1].split() == ["shop", "6", "0", "-"]
 
 
 def test_the_command_names_what_is_wrong() -> None:
     runner = testing.CliRunner()
-    told = runner.invoke(main.cli, ["workspaces"])
-    assert told.exit_code == 2
-    assert "--metrics" in told.output
-    told = runner.invoke(main.cli, ["workspaces", "--metrics", "/nowhere/page"])
-    assert isinstance(told.exception, errors.InvalidArgument)
-    assert "/nowhere/page" in str(told.exception)
+    result = runner.invoke(main.cli, ["workspaces"])
+    assert result.exit_code == 2
+    assert "--metrics" in result.output
+    result = runner.invoke(main.cli, ["workspaces", "--metrics", "/nowhere/page"])
+    assert isinstance(result.exception, errors.InvalidArgument)
+    assert "/nowhere/page" in str(result.exception)
 
 
-def test_a_line_of_metrics_that_is_none_is_named() -> None:
+def test_an_invalid_line_of_metrics_is_named() -> None:
     with pytest.raises(errors.InvalidArgument, match="page:1"):
         metrics_text.parse('gingerturn_x{workspace="a} 1\n', origin="page")
 
--- a/tests/cover/test_workspaces.py
+++ b/tests/cover/test_workspaces.py
@@ -1,8 +1,7 @@
-"""Whose a request is: by its API key, at the node that it is sent to.
+"""Workspaces of requests, by API key at the entry node.
 
-The pattern: teams share a deployment, each with keys of its own. Callers name other
-workspaces and services than their own in headers, send keys that never were, and calls
-that backend servers make for a request come without any key.
+Guards against callers that name another workspace in a header or send unknown keys, and
+against child calls, which carry no key, that lose their workspace.
 """
 
 import typing
@@ -21,7 +20,7 @@
     return builders.only(out, effects.RefuseCall)
 
 
-def test_a_request_goes_on_in_the_name_of_the_workspace_that_has_its_key() -> None:
+def test_a_request_runs_for_the_workspace_of_its_key() -> None:
     state = keyed.node_state(keyed.workspace("shop"), keyed.workspace("depot", "k2"))
     out = reducer.reduce(state, keyed.arrived(1, "k2"))
     assert routed.sent_to(out).metadata.workspace == "depot"
@@ -35,7 +34,7 @@
     assert refusal.retry_after_ms == 0
 
 
-def test_without_a_configuration_nobody_is_told_that_a_key_is_unknown() -> None:
+def test_without_a_configuration_no_key_is_refused_as_unknown() -> None:
     begin = routed.started()
     state = reducer.new_state(begin)
     reducer.reduce(state, begin)
@@ -46,8 +45,8 @@
 
 def test_a_key_that_a_later_configuration_may_hold_is_not_told_unknown() -> None:
     state = keyed.node_state()
-    told = builders.gossip(route_version=2)
-    out = reducer.reduce(state, builders.datagram("home", told))
+    gossip = builders.gossip(route_version=2)
+    out = reducer.reduce(state, builders.datagram("home", gossip))
     assert builders.only(out, effects.FetchRoutes)
     refusal = _refusal(reducer.reduce(state, keyed.arrived(1, "new")))
     assert refusal.status == 503
@@ -113,7 +112,7 @@
     assert sent.metadata.depth == 1
 
 
-def test_a_request_with_a_key_is_one_of_its_own_whatever_its_id_says() -> None:
+def test_a_request_with_a_key_is_a_root_request_whatever_its_id() -> None:
     state = _hosting("depot")
     out = reducer.reduce(state, keyed.arrived(1, "shop", request="whole.1"))
     sent = builders.only(out, effects.OpenAttempt)
@@ -121,9 +120,8 @@
     assert sent.metadata.depth == 0
 
 
-def test_a_call_of_a_request_that_is_not_known_here_is_asked_to_come_again() -> None:
-    """A node that was restarted beside its backend server does not know what that
-    one still runs."""
+def test_a_call_of_an_unknown_parent_may_be_retried() -> None:
+    """A restarted node does not know which requests its backend server still runs."""
     refusal = _refusal(
         reducer.reduce(keyed.node_state(), keyed.arrived(1, "", request="lost.1"))
     )
@@ -195,7 +193,7 @@
     return transport, found
 
 
-def test_neither_the_key_nor_a_named_workspace_goes_on_to_the_backend_server() -> None:
+def test_neither_the_key_nor_a_workspace_header_is_forwarded() -> None:
     _, found = _dispatched(b"X-Key: marked-key\r\nX-Workspace: another\r\n\r\n")
     request, arrival = found[0]
     assert b"marked-key" not in request.head
@@ -217,13 +215,13 @@
     assert arrival.key_digest == routes.key_digest(key)
 
 
-def test_requests_of_two_workspaces_are_not_one_that_ends_backend_servers() -> None:
+def test_requests_of_two_workspaces_have_different_fingerprints() -> None:
     request = caller_requests.Request(None)  # type: ignore[arg-type]
     one = caller_requests.fingerprint(request, "plans", "", routes.key_digest(b"a"))
     other = caller_requests.fingerprint(request, "plans", "", routes.key_digest(b"b"))
     assert one != other
 
 
-def test_every_refusal_has_words_for_people() -> None:
+def test_every_rule_has_a_description() -> None:
     for rule in decisions.Rule:
         assert decisions.description_of(rule)
--- a/tests/nocover/test_soak.py
+++ b/tests/nocover/test_soak.py
@@ -27,7 +27,7 @@
 DEADLY_SEED = 3
 """The first whose schedule has a request that ends backend servers. Three of its ends
 were told without it: calls that broke while the backend server was down took its place;
-test_calls_that_break_while_it_is_down_do_not_hide_what_ended_it."""
+test_calls_that_break_after_a_crash_do_not_hide_its_cause."""
 
 RESTORED_SEED = 1
 """The first whose schedule lets the log be restored more than once."""
