--- a/src/gingerturn/internal/core/replies.py
+++ b/src/gingerturn/internal/core/replies.py
@@ -230,7 +230,7 @@
     :param outcome_known: the call certainly ran.
     """
     entry = state.keys[hosted.metadata.key]
-    keys.mark_done(entry, kept=answer_stored, certain=outcome_known)
+    keys.mark_done(entry, answer_stored=answer_stored, outcome_known=outcome_known)
     waiters = list(entry.waiters)
     entry.waiters.clear()
     for waiter_id in waiters:
