--- a/src/gingerturn/internal/core/claims.py
+++ b/src/gingerturn/internal/core/claims.py
@@ -61,7 +61,7 @@
         entry = state.keys.get(key)
         if entry is None or entry.phase is not states.KeyPhase.CLAIMING:
             continue
-        _give_up(state, entry, out)
+        _abandon(state, entry, out)
         if certain:
             state.keys.pop(key, None)
 
@@ -82,9 +82,9 @@
             )
         elif entry.phase is states.KeyPhase.CLAIMING:
             if claim.claim == entry.claim:
-                _won(state, entry, out)
+                _on_won(state, entry, out)
             else:
-                _lost(state, entry, claim.node, out)
+                _on_lost(state, entry, claim.node, out)
 
 
 def on_log_restored(state: states.State, out: states.Effects) -> None:
@@ -93,7 +93,7 @@
     state.claim_batch.clear()
     for entry in state.keys.values():
         if entry.phase is states.KeyPhase.CLAIMING:
-            _give_up(state, entry, out)
+            _abandon(state, entry, out)
             entry.phase = states.KeyPhase.FOREIGN
 
 
@@ -105,10 +105,10 @@
         if entry.phase is not states.KeyPhase.CLAIMING:
             continue
         if entry.hosted is not None and now - entry.since > keys.CLAIM_WAIT_MS:
-            _give_up(state, entry, out)
+            _abandon(state, entry, out)
 
 
-def _won(state: states.State, entry: states.KeyEntry, out: states.Effects) -> None:
+def _on_won(state: states.State, entry: states.KeyEntry, out: states.Effects) -> None:
     hosted = None if entry.hosted is None else state.hosted.get(entry.hosted)
     if hosted is None:
         entry.phase = states.KeyPhase.OURS_IDLE
@@ -123,7 +123,7 @@
     hosting.dispatch(state, hosted, out)
 
 
-def _lost(
+def _on_lost(
     state: states.State, entry: states.KeyEntry, holder: str, out: states.Effects
 ) -> None:
     entry.phase = states.KeyPhase.FOREIGN
@@ -140,7 +140,7 @@
         )
 
 
-def _give_up(state: states.State, entry: states.KeyEntry, out: states.Effects) -> None:
+def _abandon(state: states.State, entry: states.KeyEntry, out: states.Effects) -> None:
     """Refuse the calls of a key whose claim is not confirmed.
 
     They were not handed over; whether another node ran the key is not known, and
--- a/src/gingerturn/internal/core/gossip_queue.py
+++ b/src/gingerturn/internal/core/gossip_queue.py
@@ -1,8 +1,7 @@
-"""Which members' updates are still passed on, those passed on least often first.
+"""A queue of member updates for gossip, those sent least often first.
 
-Kept by how often each may still be told: taking the five that come first costs the same
-with four members and with four thousand. Ranking all of them for each message takes
-0.2 ms with 194, for minutes after a start.
+Updates are kept in buckets by remaining transmissions, so that the cost of taking a few
+does not depend on the number of members.
 """
 
 import itertools
@@ -10,31 +9,31 @@
 
 
 class GossipQueue:
-    """Updates that wait to be passed on.
+    """Member updates that are still to be sent.
 
-    Invariant: ``_left`` names the bucket in which each node stands.
+    Invariant: ``_remaining`` names the bucket of each node.
     """
 
     def __init__(self) -> None:
-        self._left: dict[str, int] = {}
+        self._remaining: dict[str, int] = {}
         self._buckets: dict[int, dict[str, None]] = {}
 
     def __len__(self) -> int:
-        return len(self._left)
+        return len(self._remaining)
 
     def __contains__(self, node: object) -> bool:
-        return node in self._left
+        return node in self._remaining
 
     def put(self, node: str, times: int) -> None:
-        """Let an update be passed on so many times from now on."""
+        """Queue an update for a number of transmissions, replacing a queued one."""
         self.drop(node)
         if times > 0:
-            self._left[node] = times
+            self._remaining[node] = times
             self._buckets.setdefault(times, {})[node] = None
 
     def drop(self, node: str) -> None:
-        """Pass an update on no more."""
-        times = self._left.pop(node, None)
+        """Remove an update from the queue."""
+        times = self._remaining.pop(node, None)
         if times is None:
             return
         bucket = self._buckets[times]
@@ -43,7 +42,7 @@
             del self._buckets[times]
 
     def take(self, count: int) -> list[str]:
-        """Return the nodes whose updates go with the next message."""
+        """Return the nodes whose updates go into the next message, and count them."""
         taken: list[str] = []
         for times in sorted(self._buckets, reverse=True):
             wanted = count - len(taken)
@@ -51,14 +50,14 @@
                 break
             taken += itertools.islice(self._buckets[times], wanted)
         for node in taken:
-            self.put(node, self._left[node] - 1)
+            self.put(node, self._remaining[node] - 1)
         return taken
 
     def dump(self) -> dict[str, int]:
-        """Return how often each may still be told, for people."""
-        return dict(self._left)
+        """Return the remaining transmissions by node, for diagnostics."""
+        return dict(self._remaining)
 
 
 def encoded(value: object) -> typing.Any:
-    """Return rumours as plain data for a dump of the state."""
+    """Return a queue as plain data for a dump of the state."""
     return value.dump() if isinstance(value, GossipQueue) else repr(value)
--- a/src/gingerturn/internal/core/instances.py
+++ b/src/gingerturn/internal/core/instances.py
@@ -14,7 +14,7 @@
 
 _T = typing.TypeVar("_T")
 
-INSTANCES_KEPT = 64
+MAX_PAST_INSTANCES = 64
 """Past instances remembered, to tell their late announcements: more than follow one
 another on an instance within any delay."""
 
@@ -33,13 +33,13 @@
     if instance in backend.departed_instances:
         return not started_ms or started_ms <= backend.departed_instances[instance]
     if instance == backend.instance:
-        if _tells_apart(started_ms, backend.started_ms):
+        if _differ(started_ms, backend.started_ms):
             return started_ms < backend.started_ms
         return 0 < sequence <= backend.sequence
     if instance not in backend.replaced_instances:
         return False
     before = backend.replaced_instances[instance]
-    if _tells_apart(started_ms, before.started_ms):
+    if _differ(started_ms, before.started_ms):
         return started_ms < before.started_ms
     # Which of two is alive no announcement tells for certain: after a restart of this
     # node a late word of an instance long gone looks like a new start. The later one
@@ -47,7 +47,7 @@
     return backend.present or sequence <= before.sequence
 
 
-def _tells_apart(started_ms: int, other_ms: int) -> bool:
+def _differ(started_ms: int, other_ms: int) -> bool:
     return bool(started_ms and other_ms) and started_ms != other_ms
 
 
@@ -58,7 +58,7 @@
         return False
     if instance != backend.instance or instance in backend.departed_instances:
         return True
-    return _tells_apart(started_ms, backend.started_ms)
+    return _differ(started_ms, backend.started_ms)
 
 
 def is_of_earlier_start(
@@ -79,12 +79,12 @@
     if not started_ms and instance == backend.instance:
         started_ms = backend.started_ms
     # Of an instance that told no start only what starts from now on is another.
-    _remember(backend.departed_instances, instance, started_ms or int(state.now))
+    _store(backend.departed_instances, instance, started_ms or int(state.now))
 
 
-def _remember(table: dict[str, _T], instance: str, what: _T) -> None:
+def _store(table: dict[str, _T], instance: str, what: _T) -> None:
     table[instance] = what
-    if len(table) > INSTANCES_KEPT:
+    if len(table) > MAX_PAST_INSTANCES:
         del table[next(iter(table))]
 
 
@@ -94,7 +94,7 @@
     backend = state.backend
     if backend.instance and backend.instance != instance:
         heard = states.InstanceAnnouncement(backend.started_ms, backend.sequence)
-        _remember(backend.replaced_instances, backend.instance, heard)
+        _store(backend.replaced_instances, backend.instance, heard)
     backend.departed_instances.pop(instance, None)
     backend.instance = instance
     backend.sequence = 0
--- a/src/gingerturn/internal/core/joining.py
+++ b/src/gingerturn/internal/core/joining.py
@@ -1,5 +1,5 @@
-"""How a node finds the others: by the log, by the peers of its settings, and again
-after both sides of a parted network gave each other up.
+"""Discovery of members: by join records on the log, by the peers in the settings, and
+by probing gone members after a network partition.
 """
 
 import math
@@ -16,28 +16,27 @@
 
 JOIN_CONTACTS = 3
 KEYED_CONTACTS = 16
-"""Nodes contacted at once from the members that a keyed log lists, the latest first:
-some of them may be gone for good and never answer."""
+"""Nodes contacted at once from the join records of a keyed log, the latest first. Some
+of the nodes may no longer exist."""
 
-CONTACT_TRIES = 4
-REVIVE_MS = 1_000.0
-"""Each second one member that is held for gone is pinged: after both sides of a
-parted network gave each other up, nothing else would bring them together."""
+CONTACT_ATTEMPTS = 4
+GONE_PROBE_INTERVAL_MS = 1_000.0
+"""How often a gone member is pinged, so that both sides of a network partition merge
+once it heals."""
 
-WRITES_PER_SECOND = 100.0
-"""Join records that all nodes together write after the log was restored from a backup:
-a quarter of the writes that it takes, at a time when it has just come up."""
+REWRITES_PER_SECOND = 100.0
+"""Join records written by all nodes together after the log was restored from a backup.
+Bounds the load on a log that has just started."""
 
 RECENT_START_MS = 30_000.0
-"""Whoever started longer ago has been heard of by all others."""
+"""All members know a node that started longer ago than this."""
 
 PUT_RETRY_MS = 500.0
-"""Pause, before a random part, until a join record that the log did not acknowledge
-is put again."""
+"""Delay until an unacknowledged join record is put again, before jitter."""
 
 
 def start(state: states.State, me: messages.Member, out: states.Effects) -> None:
-    """Enter the membership as its only member and tell the log."""
+    """Enter the membership as its only member, and put the join record on the log."""
     state.membership.self_member = me
     member_table.update(state, me, out)
     put_join_record(state, out)
@@ -46,8 +45,8 @@
 
 
 def put_join_record(state: states.State, out: states.Effects) -> None:
-    """Put this node's place on the log, under its key if the log has keys; others read
-    it when they start."""
+    """Put the address of this node on the log, under its key if the log has keys. Other
+    nodes read it when they start."""
     view = state.membership
     if view.self_member is None:
         return
@@ -67,22 +66,25 @@
 
 
 def rewrite_join_record(state: states.State) -> None:
-    """Put the join record again, as the log may have lost it; not all nodes at once."""
+    """Schedule another put of the join record, as a restored log may have lost it.
+
+    Nodes put theirs at random times, to spread the load.
+    """
     view = state.membership
     if state.departed:
         return
-    spread = 1_000.0 * max(1.0, len(view.members) / WRITES_PER_SECOND)
+    spread_ms = 1_000.0 * max(1.0, len(view.members) / REWRITES_PER_SECOND)
     view.join_put_number = state.next_number()
-    view.join_retry_at = state.now + spread * state.random.random()
+    view.join_retry_at = state.now + spread_ms * state.random.random()
 
 
 def on_put_ended(
     state: states.State, put: int, out: states.Effects, *, done: bool
 ) -> None:
-    """Take in whether the join record was put, and read who else there is.
+    """Handle the result of putting the join record, and read the other ones.
 
-    The list is read after the own record is there: so of two nodes that start at
-    the same time the later one finds the earlier.
+    They are read after the own record was put, so that of two nodes that start at the
+    same time at least one finds the other.
     """
     view = state.membership
     if put != view.join_put_number:
@@ -94,8 +96,8 @@
         view.join_retry_at = state.now + pause
     is_known = view.members_listed and state.now - state.started_at > RECENT_START_MS
     if done and not is_known:
-        # A read that is under way began before the record was there.
-        streams.reread(state, streams.MEMBERS, anew=True)
+        # A pending read began before the record was put.
+        streams.reread(state, streams.MEMBERS, restart_pending=True)
     streams.follow(state, streams.MEMBERS, out, keyed=True, followed=False)
 
 
@@ -110,12 +112,12 @@
     )
 
 
-def on_listed(
+def on_base_read(
     state: states.State,
     records: list[messages.JoinRecord],
     out: states.Effects,
 ) -> None:
-    """Take in who joined by a keyed log: contact those not known yet."""
+    """Handle a base read of join records: contact nodes that are not members yet."""
     view = state.membership
     view.members_listed = True
     members = view.members
@@ -133,14 +135,14 @@
 def contact_unknown(
     state: states.State, now: ids.Milliseconds, out: states.Effects
 ) -> None:
-    """Contact nodes that joined by the log and were not heard of yet; datagrams may
-    be lost, so each is tried a few times."""
+    """Contact nodes with a join record that are not members yet, each a few times, as
+    datagrams may be lost."""
     view = state.membership
     contacted = 0
     for node, (record, tries) in list(view.uncontacted.items()):
         known = view.members.get(node)
-        met = known is not None and known.incarnation >= record.incarnation
-        if met or tries >= CONTACT_TRIES:
+        is_member = known is not None and known.incarnation >= record.incarnation
+        if is_member or tries >= CONTACT_ATTEMPTS:
             del view.uncontacted[node]
             continue
         if contacted < KEYED_CONTACTS:
@@ -152,7 +154,8 @@
 def probe_gone_member(
     state: states.State, now: ids.Milliseconds, out: states.Effects
 ) -> None:
-    """Ping a member that is held for gone, and renew what the log must hold."""
+    """Ping a gone member, and retry what discovery by the log still needs: the put of
+    the own join record, contacts, and a base read while no member is reachable."""
     view = state.membership
     gone = [node for node in view.gone if node in view.members]
     if gone and not state.stopping:
@@ -161,14 +164,14 @@
         put_join_record(state, out)
     contact_unknown(state, now, out)
     if state.keyed_log and not member_table.reachable(state) and view.members_listed:
-        # Alone: the others may have been replaced while this node was cut off.
+        # All other members may have been replaced while this node was cut off.
         streams.reread(state, streams.MEMBERS)
 
 
 def contact_seeds(
     state: states.State, now: ids.Milliseconds, out: states.Effects
 ) -> None:
-    """Ask the peers of the settings while nobody else is known."""
+    """Contact the peers in the settings while no other member is known."""
     if len(state.membership.members) > 1 or state.stopping:
         return
     for seed in state.seeds:
@@ -179,7 +182,7 @@
 def on_join_records(
     state: states.State, records: list[messages.JoinRecord], out: states.Effects
 ) -> None:
-    """Contact nodes that joined by the log, the latest first."""
+    """Contact the latest nodes with a join record that are not members yet."""
     latest: dict[str, messages.JoinRecord] = {r.node: r for r in records}
     latest.pop(state.node, None)
     unknown = [
--- a/src/gingerturn/internal/core/log_epochs.py
+++ b/src/gingerturn/internal/core/log_epochs.py
@@ -22,7 +22,7 @@
     streams,
 )
 
-LOWER_ANSWERS = 3
+MAX_LOWER_EPOCH_ANSWERS = 3
 """An answer of an earlier epoch was under way for long, and the question is put again.
 After so many in a row the log's own count must have gone back."""
 
@@ -43,7 +43,7 @@
     known.lower_epoch_answers += 1
     text = f"An answer of epoch {epoch} is not used, the log was at {known.epoch}."
     operator_log.info(out, "log", text)
-    if known.lower_epoch_answers >= LOWER_ANSWERS:
+    if known.lower_epoch_answers >= MAX_LOWER_EPOCH_ANSWERS:
         text = f"The log tells epoch {epoch} after {known.epoch}; its count went back."
         operator_log.warn(out, "log", text)
         known.lower_epoch_answers = 0
--- a/src/gingerturn/internal/core/member_order.py
+++ b/src/gingerturn/internal/core/member_order.py
@@ -1,7 +1,7 @@
-"""One order of the members that every node works out alike, and what follows from it.
+"""A deterministic order of the members, and the roles derived from it.
 
-By a hash of their ids, so that what falls to the first ones is spread over zones and
-services, and stays where it is when others come and go.
+Members are ordered by a hash of their ids, which spreads the roles over zones and
+services and keeps them in place when other members join or leave.
 """
 
 import collections.abc
@@ -12,34 +12,37 @@
 from gingerturn.internal.core import messages, state as states
 
 MAX_CAP_ALLOCATORS = 16
-"""Nodes that may keep the caps; more are never passed over at once."""
+"""Candidates for the cap allocator, and thus the most that can be excluded."""
 
-FANOUT = 8
-"""Nodes of a zone that ask one node above them."""
+TREE_FANOUT = 8
+"""Children of each node in the tree of a zone."""
 
 
 def sort_key(node: str) -> tuple[int, str]:
-    """Return what orders a node among the others."""
+    """Return the sort key of a node."""
     return zlib.crc32(node.encode()), node
 
 
 def parent(state: states.State) -> ids.NodeId | None:
-    """Return the node above this one: ``None`` for the first of all, the first of all
-    for the first of a zone, else one of the own zone."""
+    """Return the parent of this node in the tree of members.
+
+    The first member of all is the root; the first member of each zone is its child,
+    and all other nodes have a parent in their own zone.
+    """
     order = _order(state)
     if order.first == state.node:
         return None
     if order.index == 0:
         return order.first
-    return order.zone[(order.index - 1) // FANOUT]
+    return order.zone[(order.index - 1) // TREE_FANOUT]
 
 
 def cap_allocator(
     state: states.State, *, passed_over: frozenset[ids.NodeId]
 ) -> ids.NodeId:
-    """Return the node that keeps the caps of workspaces.
+    """Return the node that allocates the caps of workspaces.
 
-    :param passed_over: nodes that are not to be asked.
+    :param passed_over: nodes to exclude.
     """
     for node in _order(state).cap_allocators:
         if node not in passed_over:
@@ -48,48 +51,51 @@
 
 
 def is_live(state: states.State, node: ids.NodeId) -> bool:
-    """Tell whether a node is a member that is neither suspected nor leaving."""
+    """Whether a node is a member that is neither suspected nor leaving."""
     member = state.membership.members.get(node)
     return member is not None and member.state is messages.MemberState.ALIVE
 
 
 def cap_sharer_count(state: states.State) -> int:
-    """Return how many nodes own a part of each cap: also those that are suspected or
-    gone, since they may be at work on the other side of a parted network."""
+    """Return how many nodes own a share of each cap.
+
+    Suspected and gone members count, since they may still be running on the other side
+    of a network partition.
+    """
     return _order(state).cap_sharers
 
 
 def is_first(state: states.State) -> bool:
-    """Tell whether this node is the first of all."""
+    """Whether this node is the first of all members."""
     return _order(state).first == state.node
 
 
 def is_zone_first(state: states.State) -> bool:
-    """Tell whether this node is the first of its zone."""
+    """Whether this node is the first member of its zone."""
     return _order(state).index == 0
 
 
-def _keeper_place(node: str) -> tuple[int, str]:
+def _cap_allocator_key(node: str) -> tuple[int, str]:
     return sort_key(f"keeper {node}")
 
 
-def _left(
+def _has_departed(
     view: states.Membership,
 ) -> collections.abc.Callable[[messages.Member], bool]:
-    """Return what tells whether a member has left by a planned stop."""
+    """Return a predicate for members that left by a planned stop."""
 
-    def left(member: messages.Member) -> bool:
+    def departed(member: messages.Member) -> bool:
         return view.departed.get(member.node) == member.incarnation
 
-    return left
+    return departed
 
 
 def _order(state: states.State) -> states.MemberOrder:
-    """Return the order among the members that are not suspected."""
+    """Return the order of the live members, cached until the membership changes."""
     view = state.membership
-    known = view.order_cache
-    if known is not None and known.version == view.version:
-        return known
+    cached = view.order_cache
+    if cached is not None and cached.version == view.version:
+        return cached
     live = [
         member
         for member in view.members.values()
@@ -104,9 +110,11 @@
         zone=zone,
         index=index,
         cap_sharers=max(
-            1, len(view.members) - sum(map(_left(view), view.members.values()))
+            1, len(view.members) - sum(map(_has_departed(view), view.members.values()))
+        ),
+        cap_allocators=heapq.nsmallest(
+            MAX_CAP_ALLOCATORS, names, key=_cap_allocator_key
         ),
-        cap_allocators=heapq.nsmallest(MAX_CAP_ALLOCATORS, names, key=_keeper_place),
         version=view.version,
     )
     return view.order_cache
--- a/src/gingerturn/internal/core/member_table.py
+++ b/src/gingerturn/internal/core/member_table.py
@@ -1,7 +1,7 @@
-"""What a node believes of the other members, and what of it is still passed on.
+"""The table of members, with the updates that are still to be gossiped.
 
-Invariants: ``by_service`` lists just the members that offer a service and do not leave;
-a member is in ``suspected`` or ``gone`` exactly while its state says so.
+Invariants: ``by_service`` lists the members that offer a service and are not leaving; a
+member is in ``suspected`` or ``gone`` exactly while its state says so.
 """
 
 import math
@@ -11,33 +11,31 @@
 from gingerturn.internal import ids
 from gingerturn.internal.core import messages, operator_log, state as states
 
-FORGET_AFTER_MS = 300_000.0
+GONE_RETENTION_MS = 300_000.0
 
 UPDATES_PER_MESSAGE = 5
-"""About 70 bytes each, packed. With 6 a node sent 2.2 kB/s while the news of a lost
-zone spread, with 5 it stays under the 2 kB/s that control may use."""
+"""Bounds the size of a message: an encoded update takes about 70 bytes."""
 
-LISTED_PART = 3
-"""What came with a list of all members is passed on a third as often. After 194 nodes
-have started at once each would tell of all the others 24 times, for two and a half
-minutes, in messages five times as long as otherwise."""
+SYNC_UPDATE_DIVISOR = 3
+"""Updates from a full sync are sent this many times less often than others, since most
+members know them already."""
 
-SMALL = 64
-"""Below this size the few members that are not gone are listed before drawing, so
-that a draw cannot miss all of them."""
+FULL_SCAN_LIMIT = 64
+"""With fewer members than this, random members are drawn from a filtered list, so that
+a draw cannot hit only members that are gone."""
 
-_STATE_WORDS = {
+_STATE_TEXTS = {
     messages.MemberState.ALIVE: "is alive",
     messages.MemberState.SUSPECT: "is suspected",
     messages.MemberState.LEAVING: "is leaving",
     messages.MemberState.GONE: "is gone",
 }
 
-_BAD_STATES = frozenset({messages.MemberState.SUSPECT, messages.MemberState.GONE})
+_FAILED_STATES = frozenset({messages.MemberState.SUSPECT, messages.MemberState.GONE})
 
 
 def precedence(member: messages.Member) -> tuple[int, int, int]:
-    """Return what orders two words on a member: the higher one holds."""
+    """Return the sort key of updates about one member; the highest one wins."""
     return (member.incarnation, member.version, member.state)
 
 
@@ -46,13 +44,13 @@
     member: messages.Member,
     out: states.Effects,
     *,
-    source: str = "its silence",
-    listed: bool = False,
+    source: str = "probe timeout",
+    from_sync: bool = False,
 ) -> None:
-    """Take what is known of a member, and let it be passed on.
+    """Store an update about a member and queue it for gossip.
 
-    :param source: who or what tells it, for the log.
-    :param listed: it came with the list of all members, so that it is no news to most.
+    :param source: origin of the update, for the log.
+    :param from_sync: it came with a full sync, so most members know it already.
     """
     membership = state.membership
     old = membership.members.get(member.node)
@@ -62,7 +60,7 @@
     membership.members[member.node] = member
     times = transmission_count(state)
     membership.pending_updates.put(
-        member.node, times // LISTED_PART if listed else times
+        member.node, times // SYNC_UPDATE_DIVISOR if from_sync else times
     )
     if member.state is messages.MemberState.SUSPECT:
         membership.suspected.setdefault(member.node, state.now)
@@ -75,7 +73,7 @@
     if member.state is messages.MemberState.LEAVING:
         membership.departed[member.node] = member.incarnation
     if old is not None:
-        _unlist(state, old)
+        _remove_from_service(state, old)
     if member.service and member.state < messages.MemberState.LEAVING:
         membership.by_service.setdefault(member.service, []).append(member.node)
 
@@ -86,39 +84,44 @@
     source: str,
     out: states.Effects,
 ) -> None:
-    """Write what this node believes from now on, if that is another thing."""
-    offers_other = old is None or old.service != member.service
-    anew = old is not None and old.incarnation != member.incarnation
-    if old is not None and old.state is member.state and not offers_other and not anew:
+    """Log a new member, or a change of its state, service or incarnation."""
+    new_service = old is None or old.service != member.service
+    restarted = old is not None and old.incarnation != member.incarnation
+    if (
+        old is not None
+        and old.state is member.state
+        and not new_service
+        and not restarted
+    ):
         return
-    words = _STATE_WORDS[member.state]
+    change = _STATE_TEXTS[member.state]
     if old is None:
-        words = "is known from now on"
-    elif anew:
-        words = "started anew"
+        change = "is a new member"
+    elif restarted:
+        change = "restarted"
     elif member.state is messages.MemberState.ALIVE and old.state is not member.state:
-        words = "is alive again"
-    offer = f", offers {member.service or 'nothing'}" if offers_other else ""
-    text = f"{member.node} {words}, version {member.version}{offer}, as {source} tells."
-    if member.state in _BAD_STATES:
+        change = "is alive again"
+    offer = f", offers {member.service or 'nothing'}" if new_service else ""
+    text = f"{member.node} {change}, version {member.version}{offer}; source: {source}."
+    if member.state in _FAILED_STATES:
         operator_log.warn(out, "membership", text)
     else:
         operator_log.info(out, "membership", text)
 
 
-def _unlist(state: states.State, member: messages.Member) -> None:
+def _remove_from_service(state: states.State, member: messages.Member) -> None:
     nodes = state.membership.by_service.get(member.service)
     if nodes and member.node in nodes:
         nodes.remove(member.node)
 
 
 def transmission_count(state: states.State) -> int:
-    """Return how often an update is passed on until nearly all have heard it."""
+    """Return how often to send an update so that it reaches nearly all members."""
     return 3 * math.ceil(math.log2(len(state.membership.members) + 2))
 
 
 def reachable(state: states.State) -> list[ids.NodeId]:
-    """Return the other members that are not held for gone."""
+    """Return the other members that are not gone."""
     return [
         member.node
         for member in state.membership.members.values()
@@ -127,24 +130,24 @@
 
 
 def random_members(state: states.State, count: int) -> list[ids.NodeId]:
-    """Return some random members that are not gone.
+    """Return random members that are not gone, at most ``count``.
 
-    Drawn by index: shuffling all of 4,200 took 4 ms at each push.
+    Large tables are sampled instead of shuffled, to bound the cost of a push.
     """
     members = state.membership.members
-    if len(members) < SMALL:
+    if len(members) < FULL_SCAN_LIMIT:
         pool = sorted(reachable(state))
         return state.random.sample(pool, min(count, len(pool)))
-    drawn = state.random.sample(list(members), 2 * count)
+    sampled = state.random.sample(list(members), 2 * count)
     return [
         ids.NodeId(name)
-        for name in drawn
+        for name in sampled
         if name != state.node and members[name].state < messages.MemberState.GONE
     ][:count]
 
 
 def updates_to_send(state: states.State) -> tuple[messages.Member, ...]:
-    """Return the updates that were passed on least often so far."""
+    """Return the updates for the next message, those sent least often first."""
     membership = state.membership
     chosen = membership.pending_updates.take(UPDATES_PER_MESSAGE)
     return tuple(
@@ -158,15 +161,15 @@
     new_state: messages.MemberState,
     out: states.Effects,
 ) -> None:
-    """Take in that a member, as it is known, has come to another state."""
+    """Update only the state of a known member."""
     update(state, msgspec.structs.replace(member, state=new_state), out)
 
 
 def prune_gone(state: states.State, now: ids.Milliseconds) -> None:
-    """Forget the members that have been gone for long."""
+    """Remove members that have been gone for longer than the retention period."""
     membership = state.membership
     for node, since in list(membership.gone.items()):
-        if now - since < FORGET_AFTER_MS:
+        if now - since < GONE_RETENTION_MS:
             continue
         del membership.gone[node]
         membership.version += 1
--- a/src/gingerturn/internal/core/membership.py
+++ b/src/gingerturn/internal/core/membership.py
@@ -1,9 +1,9 @@
-"""Who the members are: gossip in the manner of SWIM (Das et al., 2002).
+"""Group membership and failure detection, after SWIM (Das et al., 2002).
 
-Each period a node pings one member; updates about members ride on pings and
-acknowledgements. A member that answers neither directly nor through others is
-suspected, and gone if it does not refute that. Bytes a second are bounded
-whatever the size: one probe a period, a bounded number of updates each.
+In each period a node pings one member; member updates are piggybacked on pings and
+acknowledgements. A member that answers neither direct nor indirect probes is suspected,
+and declared gone unless it refutes the suspicion. The bandwidth of a node does not
+depend on the number of members: one probe a period, with a bounded number of updates.
 """
 
 import typing
@@ -23,30 +23,26 @@
     state as states,
 )
 
-PROBE_MS = 500.0
-CHECK_MS = 100.0
-INDIRECT_AFTER_MS = 300.0
+PROBE_INTERVAL_MS = 500.0
+CHECK_INTERVAL_MS = 100.0
+INDIRECT_PROBE_AFTER_MS = 300.0
 SUSPECT_AFTER_MS = 700.0
-"""A frozen node is suspected, and passed over, within two seconds at the sizes of
-today: calls that it holds wait for their deadlines, so each second counts. At the
-design size somebody probes each member about twice a second whatever their number,
-and what it finds spreads by gossip."""
+"""Bounds how long calls wait at a frozen node before its upstreams avoid it."""
 
 GONE_AFTER_MS = 4_000.0
 INDIRECT_PROBES = 2
-SYNC_PAGE = 8
-PUSH_EVERY_MS = 250.0
-URGENT_FANOUT = 4
-"""Members told at once of a departure or a new revision; each passes news on to
-as many, so that a few rounds reach all even where a tenth is lost."""
+SYNC_PAGE_SIZE = 8
+MIN_PUSH_INTERVAL_MS = 250.0
+PUSH_FANOUT = 4
+"""Members that are pinged at once on an urgent change. Each forwards it to as many, so
+that a few rounds reach all members despite packet loss."""
 
-ISOLATED_SHARE = 0.5
-"""Where more than half of the members seem unreachable, the fault is more likely
-this node's own network: nobody is declared gone until some answer again."""
+ISOLATION_THRESHOLD = 0.5
+"""Above this share of suspected members this node is taken to be cut off itself, and
+declares no member gone until some of them answer again."""
 
-
-_OF_MEMBERS = frozenset({messages.GossipKind.PING, messages.GossipKind.ACK})
-"""Kinds of messages that a node gets only from one that takes it for a member."""
+_MEMBER_KINDS = frozenset({messages.GossipKind.PING, messages.GossipKind.ACK})
+"""Kinds of messages that a node sends only to its members."""
 
 
 def update_self(
@@ -59,9 +55,9 @@
     member_state: messages.MemberState | None = None,
     urgent: bool = True,
 ) -> None:
-    """Tell the others of a change of this node; what is ``None`` stays.
+    """Advertise a change of this node; fields that are ``None`` stay.
 
-    :param urgent: tell some members at once instead of with the next probes.
+    :param urgent: notify some members at once instead of with the next probes.
     """
     me = state.membership.self_member
     if me is None:
@@ -83,23 +79,22 @@
 
 
 def push(state: states.State, out: states.Effects) -> None:
-    """Tell some members at once what there is to tell.
+    """Send pending updates to some random members at once.
 
-    News that come thick are told together: when a zone of 525 members was lost,
-    each of its departures would have been a push of its own.
+    Pushes are rate limited; updates that arrive in between are sent with the next one.
     """
     membership = state.membership
     if state.now < membership.next_push:
         membership.push_pending = True
         return
-    membership.next_push = state.now + PUSH_EVERY_MS
+    membership.next_push = state.now + MIN_PUSH_INTERVAL_MS
     membership.push_pending = False
-    for node in member_table.random_members(state, URGENT_FANOUT):
+    for node in member_table.random_members(state, PUSH_FANOUT):
         ping(state, node, out)
 
 
 def probe(state: states.State, now: ids.Milliseconds, out: states.Effects) -> None:
-    """Ping the next member of a shuffled round."""
+    """Ping the next member of the current round, which visits all in random order."""
     membership = state.membership
     if not membership.probe_order:
         membership.probe_order = [str(node) for node in member_table.reachable(state)]
@@ -115,9 +110,9 @@
 def check(
     state: states.State, now: ids.Milliseconds, out: states.Effects
 ) -> list[ids.NodeId]:
-    """Move on unanswered probes and suspicions.
+    """Check the timeouts of probes and suspicions.
 
-    :return: members that this node itself suspects from now on.
+    :return: members that became suspect by the probes of this node.
     """
     membership = state.membership
     suspected: list[ids.NodeId] = []
@@ -130,9 +125,9 @@
             del membership.probes[sequence]
             _suspect(state, probed.node, out)
             suspected.append(probed.node)
-        elif waited > INDIRECT_AFTER_MS and not probed.indirect:
+        elif waited > INDIRECT_PROBE_AFTER_MS and not probed.indirect:
             probed.indirect = True
-            _probe_again(state, sequence, probed.node, out)
+            _probe_indirectly(state, sequence, probed.node, out)
     if membership.push_pending:
         push(state, out)
     if not _isolated(state):
@@ -149,15 +144,15 @@
     message: messages.Gossip,
     out: states.Effects,
 ) -> None:
-    """Take in a membership message and answer it."""
+    """Handle a membership message."""
     state.membership.last_datagram_at = state.now
-    _tell_of_doubt(state, sender)
+    _queue_suspicion(state, sender)
     kinds = messages.GossipKind
-    listed = message.kind is kinds.SYNC_PAGE
-    news = [
+    from_sync = message.kind is kinds.SYNC_PAGE
+    updated = [
         member
         for member in message.members
-        if _merge(state, sender, member, out, listed=listed)
+        if _merge(state, sender, member, out, from_sync=from_sync)
     ]
     if message.kind is kinds.PING:
         _answer(state, kinds.ACK, message.sequence, host, port, out)
@@ -169,14 +164,14 @@
         _send_page(state, host, port, message, out)
     elif message.kind is kinds.SYNC_PAGE and message.cursor:
         sync(state, host, port, message.cursor, out)
-    urgent = any(member.state is messages.MemberState.LEAVING for member in news)
-    if message.kind in _OF_MEMBERS:
+    urgent = any(member.state is messages.MemberState.LEAVING for member in updated)
+    if message.kind in _MEMBER_KINDS:
         urgent |= quarantine_gossip.on_gossip(state, message.quarantine, out)
     if urgent:
         push(state, out)
-    if sender not in state.membership.members and message.kind in _OF_MEMBERS:
-        # A node that was restarted while the log was away hears from peers that it
-        # does not know: their own records have long ceased to ride along.
+    if sender not in state.membership.members and message.kind in _MEMBER_KINDS:
+        # After a restart without the log, peers are unknown, and they no longer gossip
+        # their own records.
         sync(state, host, port, "", out)
     revisions.on_peer_revision(
         state, sender, message.revision, message.config_digest, out
@@ -184,11 +179,11 @@
     route_table.on_peer_version(state, sender, message.route_version, out)
 
 
-def _tell_of_doubt(state: states.State, sender: ids.NodeId) -> None:
-    """Let a sender that is held for suspect or gone hear of it, to refute it.
+def _queue_suspicion(state: states.State, sender: ids.NodeId) -> None:
+    """Queue the update on a suspect or gone sender again, so that it can refute it.
 
-    While the sides of a parted network could not reach one another, all rumours were
-    spent into the void; after the merge a suspicion would have stood for ever.
+    During a partition all transmissions of an update may be lost; without this a
+    suspicion would remain after the partition heals.
     """
     membership = state.membership
     if sender in membership.suspected or sender in membership.gone:
@@ -198,72 +193,74 @@
 def _merge(
     state: states.State,
     sender: ids.NodeId,
-    heard: messages.Member,
+    received: messages.Member,
     out: states.Effects,
     *,
-    listed: bool,
+    from_sync: bool,
 ) -> bool:
-    """Merge what a sender told of a member.
+    """Merge an update about a member.
 
-    :param listed: it told of all members.
+    :param from_sync: the update is part of a full sync.
 
-    :return: whether it was news.
+    :return: whether it changed the member table.
     """
     me = state.membership.self_member
-    if heard.node == state.node and me is not None:
-        return _hear_of_self(state, me, heard, out)
-    known = state.membership.members.get(heard.node)
-    if known is not None and member_table.precedence(heard) <= member_table.precedence(
-        known
-    ):
+    if received.node == state.node and me is not None:
+        return _refute(state, me, received, out)
+    known = state.membership.members.get(received.node)
+    if known is not None and member_table.precedence(
+        received
+    ) <= member_table.precedence(known):
         return False
-    if known is None and heard.state is messages.MemberState.GONE:
+    if known is None and received.state is messages.MemberState.GONE:
         return False
-    if known is not None and _started_anew(known, heard):
-        # Nothing that the old one told counts any more.
-        _forget_upstream(state, heard.node)
-    member_table.update(state, heard, out, source=sender, listed=listed)
+    if known is not None and _has_restarted(known, received):
+        # Reports from before the restart are obsolete.
+        _reset_upstream(state, received.node)
+    member_table.update(state, received, out, source=sender, from_sync=from_sync)
     return True
 
 
-def _started_anew(known: messages.Member, heard: messages.Member) -> bool:
-    """Tell whether a member, or the backend server beside it, is another start."""
-    if heard.incarnation > known.incarnation:
+def _has_restarted(known: messages.Member, received: messages.Member) -> bool:
+    """Whether a member, or the backend server beside it, was restarted."""
+    if received.incarnation > known.incarnation:
         return True
-    before, now = known.backend_started_ms, heard.backend_started_ms
+    before, now = known.backend_started_ms, received.backend_started_ms
     return bool(before and now) and before != now
 
 
-def _forget_upstream(state: states.State, node: ids.NodeId) -> None:
+def _reset_upstream(state: states.State, node: ids.NodeId) -> None:
     known = state.upstreams.pop(node, None)
     if known is None:
         return
-    # Attempts that are under way there still end.
+    # Attempts in flight still complete and are subtracted.
     state.upstreams[node] = states.Upstream(
         node=node, own_level=states.NO_REPORTED_LEVEL, outstanding=known.outstanding
     )
 
 
-def _hear_of_self(
+def _refute(
     state: states.State,
     me: messages.Member,
-    heard: messages.Member,
+    received: messages.Member,
     out: states.Effects,
 ) -> bool:
-    if heard.incarnation > me.incarnation:
-        # The wall clock from which incarnations are taken was set back before this
-        # start; keeping the lower number would leave this node out for good.
+    if received.incarnation > me.incarnation:
+        # Incarnations are taken from the wall clock, which was set back before this
+        # start. With the lower incarnation other members would ignore this node.
         operator_log.warn(
-            out, "membership", f"A later incarnation of {me.node} was known."
+            out,
+            "membership",
+            f"Peers know the later incarnation {received.incarnation} of {me.node}.",
         )
-        state.incarnation = ids.Incarnation(heard.incarnation + 1)
+        state.incarnation = ids.Incarnation(received.incarnation + 1)
         state.membership.self_member = msgspec.structs.replace(
             me, incarnation=state.incarnation
         )
         update_self(state, out)
         return False
-    if member_table.precedence(heard) > member_table.precedence(me):
-        version = max(me.version, heard.version)
+    if member_table.precedence(received) > member_table.precedence(me):
+        version = max(me.version, received.version)
         state.membership.self_member = msgspec.structs.replace(me, version=version)
         update_self(state, out, urgent=False)
     return False
@@ -278,7 +275,7 @@
 ) -> None:
     """Ping a member.
 
-    :param track: miss its answer.
+    :param track: suspect the member unless it answers in time.
     """
     membership = state.membership
     membership.sequence += 1
@@ -303,11 +300,11 @@
     state: states.State,
     kind: messages.GossipKind,
     sequence: int = 0,
-    **riding: typing.Any,
+    **fields: typing.Any,
 ) -> messages.Gossip:
-    """Return a message with what every one tells of its sender.
+    """Return a message with the fields that every message carries.
 
-    :param riding: further fields of the message.
+    :param fields: further fields of the message.
     """
     return messages.Gossip(
         kind=kind,
@@ -316,7 +313,7 @@
         route_version=0 if state.routes is None else state.routes.version,
         log_epoch=state.log.highest,
         config_digest=revisions.config_digest(state),
-        **riding,
+        **fields,
     )
 
 
@@ -377,19 +374,19 @@
     probed.for_sequence = message.sequence
 
 
-def _probe_again(
+def _probe_indirectly(
     state: states.State, sequence: int, node: ids.NodeId, out: states.Effects
 ) -> None:
-    """Ping a member that has not answered once more, and through others: one lost
-    datagram in ten must not make suspects of a tenth of all members."""
+    """Repeat an unanswered ping, directly and through other members, so that a lost
+    datagram alone does not raise a suspicion."""
     _ping(state, node, sequence, out)
-    helpers = [
+    relays = [
         other
         for other in member_table.random_members(state, INDIRECT_PROBES + 1)
         if other != node
     ]
-    for helper in helpers[:INDIRECT_PROBES]:
-        member = state.membership.members[helper]
+    for relay in relays[:INDIRECT_PROBES]:
+        member = state.membership.members[relay]
         message = _gossip(
             state,
             messages.GossipKind.PING_REQUEST,
@@ -415,7 +412,7 @@
 def _isolated(state: states.State) -> bool:
     membership = state.membership
     others = len(membership.members) - len(membership.gone) - 1
-    return others > 2 and len(state.membership.suspected) > others * ISOLATED_SHARE
+    return others > 2 and len(state.membership.suspected) > others * ISOLATION_THRESHOLD
 
 
 def _declare_gone(
@@ -431,7 +428,7 @@
 def sync(
     state: states.State, host: str, port: int, cursor: str, out: states.Effects
 ) -> None:
-    """Ask a node for the members that it knows, by pages, and tell it of this one."""
+    """Request a page of the members that a node knows, and advertise this node."""
     me = state.membership.self_member
     message = _gossip(
         state,
@@ -451,8 +448,8 @@
 ) -> None:
     members = state.membership.members
     names = sorted(name for name in members if name > request.cursor)
-    page = names[:SYNC_PAGE]
-    cursor = page[-1] if len(names) > SYNC_PAGE else ""
+    page = names[:SYNC_PAGE_SIZE]
+    cursor = page[-1] if len(names) > SYNC_PAGE_SIZE else ""
     message = _gossip(
         state,
         messages.GossipKind.SYNC_PAGE,
--- a/src/gingerturn/internal/core/pollers.py
+++ b/src/gingerturn/internal/core/pollers.py
@@ -23,37 +23,37 @@
     streams,
 )
 
-CHECK_MS = 500.0
+CHECK_INTERVAL_MS = 500.0
 """How often a node asks itself; a dead one is noticed in about two seconds, in which
 the others still wait."""
 
-A_ZONE = 2
+POLLERS_PER_ZONE = 2
 """Nodes of each zone that wait."""
 
-SETTLED_MS = 1_000.0
+STARTUP_MS = 1_000.0
 """After its start a node has read the table and soon knows the members; before, each
 would take itself for the only one."""
 
-FIRST_HOLD_MS = 3_000
+FIRST_NODE_LONG_POLL_MS = 3_000
 """How long the first of all nodes lets the log hold a read open, where nothing asks for
 evidence more often. It finds out after a second more that the log has fallen silent,
 which leaves a second of the five within which a change is to be known after a fault."""
 
-ALONE_MS = 1_500.0
+ISOLATED_AFTER_MS = 1_500.0
 """Three periods of probes: a node that got no datagram for so long may be cut off."""
 
 
 def check(state: states.State, now: ids.Milliseconds, out: states.Effects) -> None:
     """Begin or cease to wait for a new table."""
     stream = state.streams.get(streams.ROUTES)
-    if stream is None or now - state.started_at < SETTLED_MS:
+    if stream is None or now - state.started_at < STARTUP_MS:
         return
     stream.followed = is_poller(state, now)
-    stream.long_poll_ms = _hold_ms(state)
+    stream.long_poll_ms = _long_poll_ms(state)
     streams.retry_due(state, out)
 
 
-def _hold_ms(state: states.State) -> int:
+def _long_poll_ms(state: states.State) -> int:
     """Return for how long the log is to hold a read open; 0 leaves it to the settings.
 
     A read that the log never answers hangs for that time and longer. Were all to wait
@@ -61,12 +61,16 @@
     """
     if not member_order.is_first(state):
         return 0
-    return freshness_renewal.HOLD_MS if freshness.is_bounded(state) else FIRST_HOLD_MS
+    return (
+        freshness_renewal.HOLD_MS
+        if freshness.is_bounded(state)
+        else FIRST_NODE_LONG_POLL_MS
+    )
 
 
 def is_poller(state: states.State, now: ids.Milliseconds) -> bool:
     """Tell whether this node is one of those that wait at the log."""
-    if now - state.membership.last_datagram_at > ALONE_MS:
+    if now - state.membership.last_datagram_at > ISOLATED_AFTER_MS:
         return True
     before = 0
     own = member_order.sort_key(state.node)
@@ -74,6 +78,6 @@
         if member.zone != state.zone or member.state is not messages.MemberState.ALIVE:
             continue
         before += member_order.sort_key(member.node) < own
-        if before >= A_ZONE:
+        if before >= POLLERS_PER_ZONE:
             return False
     return True
--- a/src/gingerturn/internal/core/reducer.py
+++ b/src/gingerturn/internal/core/reducer.py
@@ -285,7 +285,7 @@
     decoded = [messages.decode_record(content) for content in event.records]
     if event.stream == streams.MEMBERS:
         joins = [r for r in decoded if isinstance(r, messages.JoinRecord)]
-        joining.on_listed(state, joins, out)
+        joining.on_base_read(state, joins, out)
         decoded = [r for r in decoded if not isinstance(r, messages.JoinRecord)]
     for record in decoded:
         _on_record(state, event.stream, event.end, record, out)
@@ -579,12 +579,12 @@
 
 _TIMERS: dict[str, tuple[ids.Milliseconds, timers.Handler]] = {
     "admission": (level_control.WINDOW_MS, _control),
-    "probe": (membership.PROBE_MS, membership.probe),
-    "membership": (membership.CHECK_MS, _check_members),
+    "probe": (membership.PROBE_INTERVAL_MS, membership.probe),
+    "membership": (membership.CHECK_INTERVAL_MS, _check_members),
     "slow": (SLOW_CHECK_MS, _check_slowly),
-    "revive": (joining.REVIVE_MS, joining.probe_gone_member),
+    "revive": (joining.GONE_PROBE_INTERVAL_MS, joining.probe_gone_member),
     "prune": (PRUNE_MS, _prune),
-    "pollers": (pollers.CHECK_MS, pollers.check),
+    "pollers": (pollers.CHECK_INTERVAL_MS, pollers.check),
     "freshness": (freshness_renewal.CHECK_MS, freshness_renewal.check),
     "caps": (caps.CHECK_MS, caps.check),
 }
--- a/src/gingerturn/internal/core/revisions.py
+++ b/src/gingerturn/internal/core/revisions.py
@@ -24,14 +24,14 @@
 )
 
 NO_REVISION = ids.Revision(0)
-HISTORY = 200
-SEEN = 1_000
-PUBLISH_WAIT_MS = 10_000.0
-SNAPSHOT_EVERY_MS = 600_000.0
+MAX_HISTORY = 200
+MAX_DECIDED_IDS = 1_000
+PUBLISH_TIMEOUT_MS = 10_000.0
+SNAPSHOT_INTERVAL_MS = 600_000.0
 """The accepted set is appended anew every 10 minutes, well inside any retention
 that covers the claims, at 144 appends a day."""
 
-FETCH_EVERY_MS = 500.0
+FETCH_INTERVAL_MS = 500.0
 
 
 def publish(
@@ -40,11 +40,11 @@
     """Append a publication; its fate is told when it is read back."""
     base = state.revisions.changed.get(event.team, 0)
     if event.base != base:
-        _end(out, event.request, False, ids.Revision(base), _conflict(event, base))
+        _finish(out, event.request, False, ids.Revision(base), _conflict(event, base))
         return
     problem = _problem(state, event.team, event.text)
     if problem:
-        _end(out, event.request, False, ids.Revision(base), problem)
+        _finish(out, event.request, False, ids.Revision(base), problem)
         return
     record_id = f"{state.random.getrandbits(96):024x}"
     record = messages.PublishRecord(
@@ -81,7 +81,7 @@
     if publication is None:
         return
     problem = "the log service refused the append or is down; nothing was published"
-    _end(out, publication.request, False, ids.Revision(0), problem)
+    _finish(out, publication.request, False, ids.Revision(0), problem)
 
 
 def on_read(state: states.State, *, first: int, oldest: int, gap: bool) -> None:
@@ -109,26 +109,26 @@
         return False
     if record.id in revisions.decided_ids:
         return False
-    _remember(revisions, record.id)
+    _mark_decided(revisions, record.id)
     if revisions.revision > offset and not _is_new(state, record):
-        _end_overtaken(state, offset, record, out)
+        _finish_superseded(state, offset, record, out)
         return False
     base = revisions.changed.get(record.team, 0)
-    if _is_overtaken(record, base):
+    if _is_stale(record, base):
         problem = f"conflict: {record.team} changed at revision {base} meanwhile"
     else:
         problem = _problem(state, record.team, record.text)
     if problem:
-        _note(state, record, "refused")
-        _end_pending(state, record.id, False, ids.Revision(base), problem, out)
+        _record_outcome(state, record, "refused")
+        _finish_pending(state, record.id, False, ids.Revision(base), problem, out)
         return False
     documents = dict(revisions.documents)
     documents[record.team] = record.text
     revision = ids.Revision(max(offset, revisions.revision) + 1)
     revisions.changed[record.team] = revision
     _put_in_force(state, documents, revision, out)
-    _note(state, record, "accepted", revision)
-    _end_pending(state, record.id, True, revisions.revision, "", out)
+    _record_outcome(state, record, "accepted", revision)
+    _finish_pending(state, record.id, True, revisions.revision, "", out)
     return True
 
 
@@ -193,7 +193,7 @@
     differs = revision == revisions.revision and own and digest and own != digest
     if revision <= revisions.revision and not differs:
         return
-    if state.now - revisions.fetched_at < FETCH_EVERY_MS:
+    if state.now - revisions.fetched_at < FETCH_INTERVAL_MS:
         return
     member = state.membership.members.get(node)
     if member is None:
@@ -216,14 +216,14 @@
 ) -> None:
     """Tell authors whose publication the log does not confirm in time."""
     for publication in list(state.revisions.pending.values()):
-        if now - publication.since > PUBLISH_WAIT_MS:
+        if now - publication.since > PUBLISH_TIMEOUT_MS:
             del state.revisions.pending[publication.id]
             _forget_append(state, publication.id)
             problem = (
                 "the log did not confirm the publication in time; it may still"
                 " take effect: see `gingerturn config history`"
             )
-            _end(out, publication.request, None, ids.Revision(0), problem)
+            _finish(out, publication.request, None, ids.Revision(0), problem)
 
 
 def renew_snapshot(
@@ -237,7 +237,7 @@
     revisions = state.revisions
     if not revisions.complete or revisions.revision == 0:
         return
-    if now - revisions.snapshot_at < SNAPSHOT_EVERY_MS:
+    if now - revisions.snapshot_at < SNAPSHOT_INTERVAL_MS:
         return
     alive = [
         member.node
@@ -360,7 +360,7 @@
     return record.base == state.revisions.changed.get(record.team, 0)
 
 
-def _is_overtaken(record: messages.PublishRecord, base: int) -> bool:
+def _is_stale(record: messages.PublishRecord, base: int) -> bool:
     return record.base != base
 
 
@@ -371,7 +371,7 @@
     )
 
 
-def _end_overtaken(
+def _finish_superseded(
     state: states.State,
     offset: int,
     record: messages.PublishRecord,
@@ -380,14 +380,14 @@
     """Tell an author whose record was decided by the sender of a snapshot."""
     changed = state.revisions.changed.get(record.team, 0)
     if changed == offset + 1:
-        _note(state, record, "accepted", ids.Revision(changed))
-        _end_pending(state, record.id, True, ids.Revision(changed), "", out)
+        _record_outcome(state, record, "accepted", ids.Revision(changed))
+        _finish_pending(state, record.id, True, ids.Revision(changed), "", out)
         return
     problem = f"conflict or overtaken: {record.team} changed at revision {changed}"
-    _end_pending(state, record.id, None, ids.Revision(changed), problem, out)
+    _finish_pending(state, record.id, None, ids.Revision(changed), problem, out)
 
 
-def _end_pending(
+def _finish_pending(
     state: states.State,
     record_id: str,
     accepted: bool | None,
@@ -399,7 +399,7 @@
     if publication is None:
         return
     _forget_append(state, record_id)
-    _end(out, publication.request, accepted, revision, problem)
+    _finish(out, publication.request, accepted, revision, problem)
     outcome = {True: "accepted", False: "refused", None: "unknown"}[accepted]
     record = messages.AuditRecord(
         at=state.now,
@@ -413,7 +413,7 @@
     streams.audit(state, record, out)
 
 
-def _end(
+def _finish(
     out: states.Effects,
     request: str,
     accepted: bool | None,
@@ -433,7 +433,7 @@
         del appends[append]
 
 
-def _note(
+def _record_outcome(
     state: states.State,
     record: messages.PublishRecord,
     outcome: str,
@@ -451,10 +451,10 @@
             revision=revision,
         )
     )
-    del history[:-HISTORY]
+    del history[:-MAX_HISTORY]
 
 
-def _remember(revisions: states.Revisions, record_id: str) -> None:
+def _mark_decided(revisions: states.Revisions, record_id: str) -> None:
     revisions.decided_ids[record_id] = True
-    if len(revisions.decided_ids) > SEEN:
+    if len(revisions.decided_ids) > MAX_DECIDED_IDS:
         del revisions.decided_ids[next(iter(revisions.decided_ids))]
--- a/src/gingerturn/internal/core/streams.py
+++ b/src/gingerturn/internal/core/streams.py
@@ -65,7 +65,7 @@
     :param extra: it was made beside those by which the stream is followed.
     :return: whether records were missed since the last read.
     """
-    _note_regained(stream, out)
+    _log_recovery(stream, out)
     gap = stream.caught_up and first > stream.offset
     if not extra:
         stream.read_pending = False
@@ -87,7 +87,7 @@
     state: states.State, stream: states.Stream, *, end: int, out: states.Effects
 ) -> None:
     """Take in that the newest records of a keyed stream were read."""
-    _note_regained(stream, out)
+    _log_recovery(stream, out)
     stream.read_pending = False
     stream.failures = 0
     stream.base_read = not stream.outdated
@@ -173,21 +173,21 @@
     )
 
 
-def _note_regained(stream: states.Stream, out: states.Effects) -> None:
+def _log_recovery(stream: states.Stream, out: states.Effects) -> None:
     if stream.failures:
         text = f"Stream {stream.name} can be read again, after {stream.failures} tries."
         operator_log.info(out, "log", text)
 
 
-def reread(state: states.State, name: str, *, anew: bool = False) -> None:
+def reread(state: states.State, name: str, *, restart_pending: bool = False) -> None:
     """Read the newest records of a keyed stream again.
 
-    :param anew: a read that is under way began too early.
+    :param restart_pending: a read that is under way began too early.
     """
     stream = state.streams.get(name)
     if stream is not None:
         stream.base_read = False
-        stream.outdated |= anew and stream.read_pending
+        stream.outdated |= restart_pending and stream.read_pending
         stream.retry_at = max(stream.retry_at, state.now)
 
 
@@ -215,17 +215,17 @@
 def retry_due(state: states.State, out: states.Effects) -> None:
     """Read each stream again whose pause is over."""
     for stream in state.streams.values():
-        if _rests(stream) and state.now >= stream.retry_at:
+        if _awaits_next_read(stream) and state.now >= stream.retry_at:
             _read(stream, out)
 
 
 def next_retry_at(state: states.State) -> ids.Milliseconds:
     """Return when the next pause of a stream is over."""
-    waiting = (s.retry_at for s in state.streams.values() if _rests(s))
+    waiting = (s.retry_at for s in state.streams.values() if _awaits_next_read(s))
     return min(waiting, default=math.inf)
 
 
-def _rests(stream: states.Stream) -> bool:
+def _awaits_next_read(stream: states.Stream) -> bool:
     """Tell whether a stream is to be read again after its pause."""
     done = stream.keyed and stream.base_read and not stream.followed
     return not stream.read_pending and not done
--- a/tests/cover/test_configuration_on_a_restored_log.py
+++ b/tests/cover/test_configuration_on_a_restored_log.py
@@ -96,7 +96,7 @@
         log_epoch=other.log.highest,
         config_digest=revisions.config_digest(other),
     )
-    state.now += revisions.FETCH_EVERY_MS
+    state.now += revisions.FETCH_INTERVAL_MS
     sender = str(other.node)
     out = reducer.reduce(state, builders.datagram(sender, message, now=state.now))
     for effect in builders.all_of(out, effects.FetchSnapshot):
@@ -198,7 +198,7 @@
     message = messages.Gossip(
         kind=messages.GossipKind.ACK, sequence=0, revision=ids.Revision(revision)
     )
-    state.now += revisions.FETCH_EVERY_MS
+    state.now += revisions.FETCH_INTERVAL_MS
     out = reducer.reduce(state, builders.datagram("n2", message, now=state.now))
     return builders.only(out, effects.FetchSnapshot).since
 
--- a/tests/cover/test_keyed_members.py
+++ b/tests/cover/test_keyed_members.py
@@ -79,7 +79,7 @@
         if e.message.kind is messages.GossipKind.SYNC_REQUEST
     ]
     assert set(greeted) == {9001}
-    assert len(greeted) == joining.CONTACT_TRIES - 1
+    assert len(greeted) == joining.CONTACT_ATTEMPTS - 1
 
 
 def test_a_node_is_ready_once_it_has_routes_and_the_members_were_read() -> None:
@@ -102,7 +102,9 @@
     state, out = _begun()
     put = builders.only(out, effects.PutRecord).put
     reducer.reduce(state, events.PutFailed(now=state.now, put=put))
-    out = builders.passed(state, 2 * joining.PUT_RETRY_MS + joining.REVIVE_MS)
+    out = builders.passed(
+        state, 2 * joining.PUT_RETRY_MS + joining.GONE_PROBE_INTERVAL_MS
+    )
     _put_done(state, builders.only(out, effects.PutRecord).put)
     out = [*_listed(state), *builders.passed(state, 50.0)]
     read = [e.stream for e in builders.all_of(out, effects.ReadNewest)]
--- a/tests/cover/test_membership.py
+++ b/tests/cover/test_membership.py
@@ -147,7 +147,7 @@
             ),
         )
         sent += len(builders.all_of(out, effects.SendGossip))
-    assert sent <= 2 * membership.URGENT_FANOUT
+    assert sent <= 2 * membership.PUSH_FANOUT
 
 
 def test_a_message_holds_a_bounded_number_of_updates() -> None:
@@ -172,23 +172,23 @@
     state = builders.node_state()
     known = builders.member("n2", "plans")
     assert _told(state, known) == [
-        "n2 is known from now on, version 1, offers plans, as n3 tells."
+        "n2 is a new member, version 1, offers plans; source: n3."
     ]
     suspect = msgspec.structs.replace(known, state=STATES.SUSPECT)
-    assert _told(state, suspect) == ["n2 is suspected, version 1, as n3 tells."]
+    assert _told(state, suspect) == ["n2 is suspected, version 1; source: n3."]
     refuted = msgspec.structs.replace(known, version=2)
-    assert _told(state, refuted) == ["n2 is alive again, version 2, as n3 tells."]
+    assert _told(state, refuted) == ["n2 is alive again, version 2; source: n3."]
     gone = msgspec.structs.replace(refuted, state=STATES.GONE)
-    assert _told(state, gone) == ["n2 is gone, version 2, as n3 tells."]
+    assert _told(state, gone) == ["n2 is gone, version 2; source: n3."]
     assert _told(state, gone) == []
     anew = msgspec.structs.replace(refuted, incarnation=ids.Incarnation(2), service="")
     assert _told(state, anew) == [
-        "n2 started anew, version 2, offers nothing, as n3 tells."
+        "n2 restarted, version 2, offers nothing; source: n3."
     ]
     back = msgspec.structs.replace(anew, version=3, service="plans")
-    assert _told(state, back) == ["n2 is alive, version 3, offers plans, as n3 tells."]
+    assert _told(state, back) == ["n2 is alive, version 3, offers plans; source: n3."]
     leaving = msgspec.structs.replace(back, state=STATES.LEAVING)
-    assert _told(state, leaving) == ["n2 is leaving, version 3, as n3 tells."]
+    assert _told(state, leaving) == ["n2 is leaving, version 3; source: n3."]
 
 
 def test_a_member_found_silent_by_the_own_probes_is_told_so() -> None:
@@ -197,6 +197,6 @@
     out = builders.passed(state, 8_000)
     lines = [line.text for line in builders.all_of(out, effects.WriteLog)]
     assert [text for text in lines if text.startswith("n2")] == [
-        "n2 is suspected, version 1, as its silence tells.",
-        "n2 is gone, version 1, as its silence tells.",
+        "n2 is suspected, version 1; source: probe timeout.",
+        "n2 is gone, version 1; source: probe timeout.",
     ]
--- a/tests/cover/test_pollers.py
+++ b/tests/cover/test_pollers.py
@@ -74,7 +74,7 @@
     name = next(str(m.node) for m in members if m.node not in _waiting(10))
     state = _node(name, *members)
     assert not pollers.is_poller(state, state.now)
-    assert pollers.is_poller(state, state.now + pollers.ALONE_MS + 1.0)
+    assert pollers.is_poller(state, state.now + pollers.ISOLATED_AFTER_MS + 1.0)
 
 
 def test_a_node_that_need_not_wait_makes_no_further_read() -> None:
@@ -109,7 +109,7 @@
     made.run(1_500.0)
     versions = {node.state.version for node in made.nodes.values()}
     assert versions == {2}
-    assert len(readers) == pollers.A_ZONE * len(ZONES)
+    assert len(readers) == pollers.POLLERS_PER_ZONE * len(ZONES)
 
 
 def test_a_change_made_while_the_log_is_silent_is_in_force_soon_after() -> None:
--- a/tests/cover/test_restored_log.py
+++ b/tests/cover/test_restored_log.py
@@ -27,7 +27,7 @@
 from tests.common import builders, routed
 
 ZONES = ["a", "b", "c"]
-POLLERS = pollers.A_ZONE * len(ZONES)
+POLLERS = pollers.POLLERS_PER_ZONE * len(ZONES)
 IN_FORCE_MS = 2_000.0
 """Operators expect a change to be in force by then."""
 
@@ -130,7 +130,7 @@
     made.run(1_000.0)
     made.log.restore(copy)
     _publish(made, *then)
-    made.run(pollers.FIRST_HOLD_MS + IN_FORCE_MS)
+    made.run(pollers.FIRST_NODE_LONG_POLL_MS + IN_FORCE_MS)
     assert _versions(made) == {then[-1] if then else 2}
     assert {node.state.log.epoch for node in made.nodes.values()} == {2}
 
@@ -362,7 +362,7 @@
 
 def test_a_log_whose_count_went_back_is_followed_again_and_told_once() -> None:
     node = _Reader()
-    for _ in range(log_epochs.LOWER_ANSWERS):
+    for _ in range(log_epochs.MAX_LOWER_EPOCH_ANSWERS):
         node.read(epoch=3)
         lines = [e.text for e in builders.all_of(node.out, effects.WriteLog)]
         node.tick(1_000.0)
@@ -477,7 +477,7 @@
         node.state.random.seed(seed)
         node.heard(6)
         due.append(node.state.membership.join_retry_at - node.state.now)
-    assert 5_000.0 < max(due) <= 1_001 * 1_000.0 / joining.WRITES_PER_SECOND
+    assert 5_000.0 < max(due) <= 1_001 * 1_000.0 / joining.REWRITES_PER_SECOND
     assert len({round(after) for after in due}) > 20
 
 
@@ -554,5 +554,5 @@
             made.restart(f"plans-{value}")
     version += 1
     _publish(made, version)
-    made.run(pollers.FIRST_HOLD_MS + IN_FORCE_MS)
+    made.run(pollers.FIRST_NODE_LONG_POLL_MS + IN_FORCE_MS)
     assert _versions(made) == {version}
--- a/tests/cover/test_revisions.py
+++ b/tests/cover/test_revisions.py
@@ -121,7 +121,7 @@
 def test_an_unconfirmed_publication_is_told_as_not_known() -> None:
     state = _fresh()
     _request(state, "shop", 0, _text("one"))
-    later = state.now + revisions.PUBLISH_WAIT_MS + 2_000
+    later = state.now + revisions.PUBLISH_TIMEOUT_MS + 2_000
     out = reducer.reduce(state, events.Tick(now=later))
     assert builders.only(out, effects.PublishEnded).accepted is None
 
@@ -179,7 +179,7 @@
 def test_the_accepted_set_is_appended_anew_before_retention_drops_it() -> None:
     state = _fresh()
     _read(state, _record("a", "shop", 0, "one"))
-    later = state.now + revisions.SNAPSHOT_EVERY_MS + 2_000
+    later = state.now + revisions.SNAPSHOT_INTERVAL_MS + 2_000
     out = reducer.reduce(state, events.Tick(now=later))
     records = [
         messages.decode_record(e.record) for e in builders.all_of(out, effects.Append)
--- a/tests/cover/test_rumours.py
+++ b/tests/cover/test_rumours.py
@@ -68,4 +68,4 @@
     news = _times_told(messages.GossipKind.ACK)
     listed = _times_told(messages.GossipKind.SYNC_PAGE)
     assert news > 15
-    assert listed == news // member_table.LISTED_PART
+    assert listed == news // member_table.SYNC_UPDATE_DIVISOR
--- a/tests/cover/test_silent_nodes.py
+++ b/tests/cover/test_silent_nodes.py
@@ -41,7 +41,9 @@
 
 def test_a_repeatable_call_at_a_silent_node_goes_elsewhere() -> None:
     state, first = _entry(routes.RouteType.SAFE)
-    out = builders.passed(state, 4 * membership.PROBE_MS + membership.SUSPECT_AFTER_MS)
+    out = builders.passed(
+        state, 4 * membership.PROBE_INTERVAL_MS + membership.SUSPECT_AFTER_MS
+    )
     again = builders.all_of(out, effects.OpenAttempt)
     assert [e.node != first.node for e in again] == [True]
     assert builders.only(out, effects.CancelAttempt).attempt == first.attempt
@@ -84,7 +86,7 @@
     routing.on_load_report(state, first.node, "lookup", builders.report())
     out = builders.passed(state, upstreams.ANSWERED_LATELY_MS - 20.0)
     assert not builders.all_of(out, effects.CancelAttempt)
-    out = builders.passed(state, 20.0 + membership.CHECK_MS + timers.GRID_MS)
+    out = builders.passed(state, 20.0 + membership.CHECK_INTERVAL_MS + timers.GRID_MS)
     assert builders.only(out, effects.CancelAttempt).attempt == first.attempt
 
 
@@ -98,7 +100,7 @@
 
 def test_a_probe_that_was_lost_is_repeated_by_the_node_itself() -> None:
     state, _ = _entry(routes.RouteType.SAFE)
-    out = builders.passed(state, 3 * membership.PROBE_MS)
+    out = builders.passed(state, 3 * membership.PROBE_INTERVAL_MS)
     sent: dict[int, int] = {}
     for effect in builders.all_of(out, effects.SendGossip):
         if effect.message.kind is messages.GossipKind.PING:
@@ -109,7 +111,9 @@
 
 def test_an_unrepeatable_call_at_a_silent_node_waits_for_it() -> None:
     state, _ = _entry(routes.RouteType.UNREPEATABLE)
-    out = builders.passed(state, 4 * membership.PROBE_MS + membership.SUSPECT_AFTER_MS)
+    out = builders.passed(
+        state, 4 * membership.PROBE_INTERVAL_MS + membership.SUSPECT_AFTER_MS
+    )
     assert not builders.all_of(out, effects.OpenAttempt)
     assert not builders.all_of(out, effects.CancelAttempt)
 
--- a/tests/quality/test_proofs_can_fail.py
+++ b/tests/quality/test_proofs_can_fail.py
@@ -79,7 +79,7 @@
             if entry is None or entry.phase is not states.KeyPhase.CLAIMING:
                 continue
             if claim.claim == entry.claim:
-                claims._won(state, entry, out)
+                claims._on_won(state, entry, out)
 
     patch.setattr(claims, "on_record", on_record)
 
@@ -205,7 +205,7 @@
 def test_the_conflict_proof_fails_when_the_base_is_not_checked(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(revisions, "_is_overtaken", lambda record, base: False)
+    monkeypatch.setattr(revisions, "_is_stale", lambda record, base: False)
     with pytest.raises(AssertionError):
         of_revisions.test_of_two_on_the_same_base_the_first_in_the_log_wins_everywhere()
 
--- a/tests/quality/test_rules_can_be_broken.py
+++ b/tests/quality/test_rules_can_be_broken.py
@@ -170,7 +170,7 @@
     (
         "CONFIG: a log that falls silent",
         pollers,
-        "_hold_ms",
+        "_long_poll_ms",
         lambda state: 0,
         waiting.test_a_change_made_while_the_log_is_silent_is_in_force_soon_after,
     ),
@@ -358,7 +358,7 @@
     (
         "a lost probe is repeated",
         membership,
-        "INDIRECT_AFTER_MS",
+        "INDIRECT_PROBE_AFTER_MS",
         membership.GONE_AFTER_MS,
         silent.test_a_probe_that_was_lost_is_repeated_by_the_node_itself,
     ),
