--- a/src/gingerturn/internal/core/claims.py
+++ b/src/gingerturn/internal/core/claims.py
@@ -1,4 +1,4 @@
-"""Claims of keys on the log: batching, reading back, winning and losing."""
+"""Claims of keys on the log: batched appends, and their outcome by the log's order."""
 
 from gingerturn.internal import ids
 from gingerturn.internal.core import (
@@ -12,16 +12,15 @@
 )
 
 APPENDS_PER_SECOND = 200.0
-"""Claim appends of all nodes together. The log service takes several hundred a
-second in all; configuration and membership need a few, the rest is left to others.
-Each node that may claim keeps to its part, so no load can exceed the sum."""
+"""Claim appends of all nodes together. Each node that may claim keeps to a share, which
+bounds the load on the log service."""
 
 
 def flush(state: states.State, out: states.Effects) -> None:
-    """Append the claims gathered since the last append, one append at a time.
+    """Append the gathered claims as one batch.
 
-    While one is under way, or the node's part of the budget is used up, the others
-    gather and travel together.
+    While an append is pending, or the share of this node is used up, claims gather
+    for the next batch.
     """
     if not state.claim_batch or state.appends or state.now < state.next_claim:
         return
@@ -40,7 +39,7 @@
 
 
 def update_append_interval(state: states.State) -> None:
-    """Work out the pause between this node's appends from who may claim at all."""
+    """Set the interval of appends from the number of nodes that may claim."""
     services = {
         rule.service for rule in state.configuration.kinds() if not rule.repeatable
     }
@@ -52,9 +51,9 @@
 def on_append_failed(
     state: states.State, append: int, certain: bool, out: states.Effects
 ) -> None:
-    """Take in a failed append of claims.
+    """Handle a failed append of claims.
 
-    Only where it is certain that nothing was appended may the keys be forgotten.
+    :param certain: nothing was appended, so the keys may be forgotten.
     """
     claimed = state.appends.pop(append, [])
     for key in claimed:
@@ -69,7 +68,7 @@
 def on_record(
     state: states.State, batch: messages.ClaimBatch, out: states.Effects
 ) -> None:
-    """Take in claims in the log's order."""
+    """Handle claims in the order of the log."""
     for claim in batch.claims:
         entry = state.keys.get(claim.key)
         if entry is None:
@@ -88,8 +87,8 @@
 
 
 def on_log_restored(state: states.State, out: states.Effects) -> None:
-    """Give up the keys that are being claimed: the log may have lost an earlier claim
-    of another node, which runs the call, and would now put this one first."""
+    """Abandon pending claims: the log may have lost an earlier claim of another node
+    that runs the call, and would now let this one win."""
     state.claim_batch.clear()
     for entry in state.keys.values():
         if entry.phase is states.KeyPhase.CLAIMING:
@@ -100,7 +99,7 @@
 def check_timeouts(
     state: states.State, now: ids.Milliseconds, out: states.Effects
 ) -> None:
-    """Give up on claims that the log does not confirm in time."""
+    """Abandon claims that the log did not confirm in time."""
     for entry in list(state.keys.values()):
         if entry.phase is not states.KeyPhase.CLAIMING:
             continue
@@ -143,8 +142,8 @@
 def _abandon(state: states.State, entry: states.KeyEntry, out: states.Effects) -> None:
     """Refuse the calls of a key whose claim is not confirmed.
 
-    They were not handed over; whether another node ran the key is not known, and
-    the entry node says ``not-run`` only to a first sending.
+    They were not dispatched, but another node may have run the key. The entry node
+    answers ``not-run`` only if no earlier attempt can have run.
     """
     hosted = None if entry.hosted is None else state.hosted.get(entry.hosted)
     entry.hosted = None
--- a/src/gingerturn/internal/core/instances.py
+++ b/src/gingerturn/internal/core/instances.py
@@ -1,11 +1,11 @@
-"""Which start of the backend server is meant, and whose word is late.
+"""Identity of the backend server: its instance and start, and outdated announcements.
 
-A backend server may start again under the id that it had. The time of its start tells
-the starts of one id apart, and that alone: its sequence begins anew.
+A backend server may restart under the same instance id. Only the start time tells its
+starts apart, since the sequence begins again with each.
 
-Invariant: a start that left is never believed again, and neither is an earlier start of
-an instance than the latest that was heard of. An instance that was only replaced may
-be: its successor may have been a late word of an older one.
+Invariant: announcements of a start that left, or of a start of an instance earlier than
+its latest known one, are ignored. A replaced instance may return: the announcement of
+its successor may have been a late one of an older instance.
 """
 
 import typing
@@ -15,17 +15,16 @@
 _T = typing.TypeVar("_T")
 
 MAX_PAST_INSTANCES = 64
-"""Past instances remembered, to tell their late announcements: more than follow one
-another on an instance within any delay."""
+"""Past instances remembered to detect their late announcements."""
 
 
 def is_outdated(
     state: states.State, instance: str, sequence: int, started_ms: int = 0
 ) -> bool:
-    """Tell whether an announcement was overtaken by a later one, by the instance's
-    own leaving, by a later start of it, or by its successor.
+    """Whether an announcement is obsolete: by a later one, by the departure of the
+    instance, by a later start of it, or by its successor.
 
-    :param started_ms: when it had started; 0 where it tells none.
+    :param started_ms: start time of the instance; 0 if not reported.
     """
     backend = state.backend
     if not instance:
@@ -38,13 +37,13 @@
         return 0 < sequence <= backend.sequence
     if instance not in backend.replaced_instances:
         return False
-    before = backend.replaced_instances[instance]
-    if _differ(started_ms, before.started_ms):
-        return started_ms < before.started_ms
-    # Which of two is alive no announcement tells for certain: after a restart of this
-    # node a late word of an instance long gone looks like a new start. The later one
-    # is believed until a call finds another at its address, or it falls silent.
-    return backend.present or sequence <= before.sequence
+    last = backend.replaced_instances[instance]
+    if _differ(started_ms, last.started_ms):
+        return started_ms < last.started_ms
+    # After a restart of this node, a late announcement of a former instance looks like
+    # a new start. The instance announced last is used until a call finds another one
+    # at its address, or its announcement expires.
+    return backend.present or sequence <= last.sequence
 
 
 def _differ(started_ms: int, other_ms: int) -> bool:
@@ -52,7 +51,7 @@
 
 
 def is_new_start(backend: states.Backend, instance: str, started_ms: int) -> bool:
-    """Tell whether an announcement that is not late is of another start than the
+    """Whether an announcement that is not outdated comes from another start than the
     present one."""
     if not instance:
         return False
@@ -64,37 +63,37 @@
 def is_of_earlier_start(
     backend: states.Backend, instance: str, started_ms: int
 ) -> bool:
-    """Tell whether the word of an instance is one of a start before its present one."""
+    """Whether a report comes from an earlier start of the present instance."""
     return instance == backend.instance and 0 < started_ms < backend.started_ms
 
 
 def record_departure(state: states.State, instance: str, started_ms: int = 0) -> None:
-    """Take in that an instance takes no more work; that start is never heard again.
+    """Record that an instance left; later announcements of that start are ignored.
 
-    :param started_ms: when it had started; 0 where it tells none.
+    :param started_ms: start time of the instance; 0 if not reported.
     """
     backend = state.backend
     if not instance:
         return
     if not started_ms and instance == backend.instance:
         started_ms = backend.started_ms
-    # Of an instance that told no start only what starts from now on is another.
+    # Without a start time, only starts from now on count as new ones.
     _store(backend.departed_instances, instance, started_ms or int(state.now))
 
 
-def _store(table: dict[str, _T], instance: str, what: _T) -> None:
-    table[instance] = what
+def _store(table: dict[str, _T], instance: str, value: _T) -> None:
+    table[instance] = value
     if len(table) > MAX_PAST_INSTANCES:
         del table[next(iter(table))]
 
 
 def begin_instance(state: states.State, instance: str) -> None:
-    """Start afresh for a new start of the backend server: nothing measured of the
-    one before holds for it."""
+    """Reset the state of the backend server for a new start; measurements of the former
+    one do not apply."""
     backend = state.backend
     if backend.instance and backend.instance != instance:
-        heard = states.InstanceAnnouncement(backend.started_ms, backend.sequence)
-        _store(backend.replaced_instances, backend.instance, heard)
+        last = states.InstanceAnnouncement(backend.started_ms, backend.sequence)
+        _store(backend.replaced_instances, backend.instance, last)
     backend.departed_instances.pop(instance, None)
     backend.instance = instance
     backend.sequence = 0
--- a/src/gingerturn/internal/core/log_epochs.py
+++ b/src/gingerturn/internal/core/log_epochs.py
@@ -1,12 +1,12 @@
-"""How a node notices that the log was restored from a backup.
+"""Detection of a log that was restored from a backup.
 
-Such a log lacks records that it had acknowledged and gives their offsets out again, so
-nothing that rests on an offset holds any more. The log counts how often that happened:
-each answer tells its epoch. Members pass the highest one on, so that a node whose read
-is held open need not wait for it to end.
+A restored log lacks records that it had acknowledged and assigns their offsets again,
+so known offsets are no longer valid. The log counts its restorations in an epoch that
+each answer carries. Members gossip the highest one, so that a node with a pending long
+poll need not wait for its end.
 
-Offsets alone tell only of a log that is shorter than a reader's offset. One that has
-become as long again, by other records, is known by its epoch alone.
+Offsets reveal a restoration only while the log is shorter than the offset of a reader.
+After that only the epoch does.
 """
 
 from gingerturn.internal import ids
@@ -23,31 +23,31 @@
 )
 
 MAX_LOWER_EPOCH_ANSWERS = 3
-"""An answer of an earlier epoch was under way for long, and the question is put again.
-After so many in a row the log's own count must have gone back."""
+"""A single answer of a lower epoch is taken for a delayed one, and the read repeated.
+After so many in a row the epoch of the log itself is taken to have gone back."""
 
 
 def accept(state: states.State, epoch: ids.LogEpoch, out: states.Effects) -> bool:
-    """Take in the epoch of an answer to the latest read of a stream.
+    """Check the epoch of the answer to the latest read of a stream.
 
-    :return: whether the answer tells what the log holds now.
+    :return: whether the answer is of the present epoch.
     """
-    known = state.log
+    log = state.log
     if not epoch:
-        known.read_without_epoch = known.read_without_epoch or not known.epoch
+        log.read_without_epoch = log.read_without_epoch or not log.epoch
         return True
-    if epoch >= known.epoch:
-        known.lower_epoch_answers = 0
+    if epoch >= log.epoch:
+        log.lower_epoch_answers = 0
         _adopt(state, epoch, "the log", out)
         return True
-    known.lower_epoch_answers += 1
-    text = f"An answer of epoch {epoch} is not used, the log was at {known.epoch}."
+    log.lower_epoch_answers += 1
+    text = f"Discarded an answer of epoch {epoch}; the log is at epoch {log.epoch}."
     operator_log.info(out, "log", text)
-    if known.lower_epoch_answers >= MAX_LOWER_EPOCH_ANSWERS:
-        text = f"The log tells epoch {epoch} after {known.epoch}; its count went back."
+    if log.lower_epoch_answers >= MAX_LOWER_EPOCH_ANSWERS:
+        text = f"The log reports epoch {epoch} after {log.epoch}; its count went back."
         operator_log.warn(out, "log", text)
-        known.lower_epoch_answers = 0
-        known.epoch = epoch
+        log.lower_epoch_answers = 0
+        log.epoch = epoch
         _restart(state, out)
     return False
 
@@ -55,24 +55,23 @@
 def on_reported_epoch(
     state: states.State, epoch: ids.LogEpoch, source: str, out: states.Effects
 ) -> None:
-    """Take in an epoch that a member or the answer to a write told, at whatever time it
-    was sent.
+    """Handle an epoch reported by a member or by an answer that may be late.
 
-    :param source: who told it, for the log lines.
+    :param source: origin of the epoch, for the log lines.
     """
     if epoch > state.log.highest:
         _adopt(state, epoch, source, out)
 
 
 def is_earlier(state: states.State, epoch: ids.LogEpoch) -> bool:
-    """Tell whether the log may have lost since what it acknowledged in an epoch."""
+    """Whether the log may have lost what it acknowledged in an epoch."""
     return 0 < epoch < state.log.epoch
 
 
 def on_stream_shortened(
     state: states.State, stream: states.Stream, first: int, out: states.Effects
 ) -> None:
-    """Take in that a stream ends before what was read of it, though no epoch told so.
+    """Handle a stream that ends before the offset of its reader in the same epoch.
 
     :param first: the first offset that the log holds.
     """
@@ -87,24 +86,24 @@
 def _adopt(
     state: states.State, epoch: ids.LogEpoch, source: str, out: states.Effects
 ) -> None:
-    known = state.log
-    before = known.epoch
-    known.epoch = epoch
-    known.highest = max(known.highest, epoch)
-    if epoch == before:
+    log = state.log
+    previous = log.epoch
+    log.epoch = epoch
+    log.highest = max(log.highest, epoch)
+    if epoch == previous:
         return
-    if not before and not known.read_without_epoch:
-        # Nothing was read in another epoch. What is under way from one is found late.
+    if not previous and not log.read_without_epoch:
+        # Nothing was read in another epoch; pending answers of one are discarded.
         streams.reset_coverage(state)
         return
-    text = f"The log was restored from a backup: epoch {epoch} after {before}"
-    operator_log.warn(out, "log", f"{text}, as {source} tells.")
+    text = f"The log was restored from a backup: epoch {epoch} after {previous}"
+    operator_log.warn(out, "log", f"{text}; source: {source}.")
     _restart(state, out)
 
 
 def _restart(state: states.State, out: states.Effects) -> None:
-    """Read every stream anew, write again what may be lost, and pass the epoch on at
-    once."""
+    """Read all streams from their start, write records again that may be lost, and push
+    the epoch to other members."""
     state.log.restores += 1
     for stream in state.streams.values():
         streams.restart(state, stream)
--- a/src/gingerturn/internal/core/pollers.py
+++ b/src/gingerturn/internal/core/pollers.py
@@ -1,16 +1,11 @@
-"""Which nodes wait at the platform's log for a new route table; the others hear of it
-from them.
+"""Selection of the nodes that long-poll the log for a new route table.
 
-A call on the log costs its owners as much as some requests, and each change of the
-table ends every waiting read: were all 194 nodes of a deployment to wait, they would
-make 1,760 calls in 42 s with three changes, in place of some 650. Members tell one
-another the version in force with every datagram, and one that hears of a later one
-fetches it, so a few that wait are enough.
-The spread takes some tenths of a second, of the two that operators allow.
+Each change of the table ends every long poll, and calls to the log are expensive, so
+only a few nodes poll. All others learn of a new version by gossip, which carries the
+version in force in every message, and fetch it from a peer.
 
-Two a zone, so that one may die and a zone may be cut off from the others. A node that
-hears from no member waits at the log itself. Where the log refuses some nodes, those of
-other zones hear of the change.
+Two nodes of each zone poll, so that one may fail and a zone may be cut off. A node that
+receives no gossip polls by itself.
 """
 
 from gingerturn.internal import ids
@@ -24,27 +19,26 @@
 )
 
 CHECK_INTERVAL_MS = 500.0
-"""How often a node asks itself; a dead one is noticed in about two seconds, in which
-the others still wait."""
+"""How often a node checks whether it is a poller. A poller that fails is replaced once
+it is suspected; the others poll meanwhile."""
 
 POLLERS_PER_ZONE = 2
-"""Nodes of each zone that wait."""
+"""Nodes of each zone that long-poll the log."""
 
 STARTUP_MS = 1_000.0
-"""After its start a node has read the table and soon knows the members; before, each
-would take itself for the only one."""
+"""Time after a start in which no poller is selected, as a node that does not know the
+members yet would select itself."""
 
 FIRST_NODE_LONG_POLL_MS = 3_000
-"""How long the first of all nodes lets the log hold a read open, where nothing asks for
-evidence more often. It finds out after a second more that the log has fallen silent,
-which leaves a second of the five within which a change is to be known after a fault."""
+"""Long poll of the first of all nodes, unless evidence is needed more often. Short, so
+that a log that stopped answering is noticed soon."""
 
 ISOLATED_AFTER_MS = 1_500.0
-"""Three periods of probes: a node that got no datagram for so long may be cut off."""
+"""A node that received no datagram for three probe intervals may be cut off."""
 
 
 def check(state: states.State, now: ids.Milliseconds, out: states.Effects) -> None:
-    """Begin or cease to wait for a new table."""
+    """Start or stop following the route table on the log."""
     stream = state.streams.get(streams.ROUTES)
     if stream is None or now - state.started_at < STARTUP_MS:
         return
@@ -54,10 +48,10 @@
 
 
 def _long_poll_ms(state: states.State) -> int:
-    """Return for how long the log is to hold a read open; 0 leaves it to the settings.
+    """Return the time for which the log holds a read open; 0 for that in the settings.
 
-    A read that the log never answers hangs for that time and longer. Were all to wait
-    for long, a log that falls silent for a moment would leave all of them in the dark.
+    A read that the log never answers blocks for longer than that. One node polls with a
+    shorter time, so that a log which stops answering does not block all pollers.
     """
     if not member_order.is_first(state):
         return 0
@@ -69,15 +63,15 @@
 
 
 def is_poller(state: states.State, now: ids.Milliseconds) -> bool:
-    """Tell whether this node is one of those that wait at the log."""
+    """Whether this node long-polls the log."""
     if now - state.membership.last_datagram_at > ISOLATED_AFTER_MS:
         return True
-    before = 0
+    preceding = 0
     own = member_order.sort_key(state.node)
     for member in state.membership.members.values():
         if member.zone != state.zone or member.state is not messages.MemberState.ALIVE:
             continue
-        before += member_order.sort_key(member.node) < own
-        if before >= POLLERS_PER_ZONE:
+        preceding += member_order.sort_key(member.node) < own
+        if preceding >= POLLERS_PER_ZONE:
             return False
     return True
--- a/src/gingerturn/internal/core/presence.py
+++ b/src/gingerturn/internal/core/presence.py
@@ -1,4 +1,4 @@
-"""Whether the backend server beside this node is there, and takes new work."""
+"""Presence of the backend server beside this node: announced, leaving or expired."""
 
 from gingerturn.internal import ids
 from gingerturn.internal.core import (
@@ -17,14 +17,14 @@
 def on_announced(
     state: states.State, event: events.BackendAnnounced, out: states.Effects
 ) -> None:
-    """Take in the announcement or the renewal of the backend server."""
+    """Handle an announcement of the backend server, or its renewal."""
     backend = state.backend
     declared = state.configuration.service(event.service).slots
     slots = event.slots if declared is None else min(declared, event.slots)
     if instances.is_new_start(backend, event.instance, event.started_ms):
         backend_crashes.on_restarted(state, out)
         if event.instance == backend.instance:
-            text = f"{event.service} {event.instance} started anew."
+            text = f"{event.service} {event.instance} restarted."
             operator_log.info(out, "backend", text)
             hosting.fail_running(state, out)
         instances.begin_instance(state, event.instance)
@@ -48,9 +48,9 @@
 def on_withdrawn(
     state: states.State, event: events.BackendWithdrawn, out: states.Effects
 ) -> bool:
-    """Stop giving work to a backend server that leaves; at once, not by gossip.
+    """Stop dispatching calls to a backend server that is leaving.
 
-    :return: whether it was the present one, which did not leave before.
+    :return: whether it is the present one and was not leaving before.
     """
     backend = state.backend
     if instances.is_of_earlier_start(backend, event.instance, event.started_ms):
@@ -69,7 +69,10 @@
 
 
 def expire(state: states.State, now: ids.Milliseconds, out: states.Effects) -> bool:
-    """Withdraw a backend server that stopped renewing; return whether it did."""
+    """Withdraw the backend server if its announcement expired.
+
+    :return: whether it did.
+    """
     backend = state.backend
     if not backend.present or now < backend.expires_at:
         return False
--- a/src/gingerturn/internal/core/revisions.py
+++ b/src/gingerturn/internal/core/revisions.py
@@ -1,12 +1,14 @@
-"""The configuration in force: decided by the log's order, the same everywhere.
-
-A publication names the revision at which its author saw the team's document
-last change. The first in offset order wins, a later one with the same base is a
-conflict; every reader decides this from the same records. The revision is the
-offset of the accepted record plus one, so it only ever grows. Where the log was
-restored from a backup and gives offsets out again, it is the present one plus one.
-Nodes that had read different records before may then give one revision to two sets;
-they tell them apart by their digests, and each takes the later document of each team.
+"""Revisions of the configuration, decided by the order of the log.
+
+A publication names the revision at which its author saw the team's document last
+change. The first one in offset order wins; a later one with the same base is a
+conflict. Every reader decides this from the same records. The revision is the offset of
+the accepted record plus one, so it never decreases.
+
+After the log was restored from a backup, which assigns offsets again, it is at least
+the present revision plus one. Nodes that had read different records may then assign one
+revision to two sets of documents. They detect that by the digests, and each takes the
+later document of each team.
 """
 
 import math
@@ -28,8 +30,7 @@
 MAX_DECIDED_IDS = 1_000
 PUBLISH_TIMEOUT_MS = 10_000.0
 SNAPSHOT_INTERVAL_MS = 600_000.0
-"""The accepted set is appended anew every 10 minutes, well inside any retention
-that covers the claims, at 144 appends a day."""
+"""How often the accepted set is appended again, well within the log's retention."""
 
 FETCH_INTERVAL_MS = 500.0
 
@@ -37,7 +38,7 @@
 def publish(
     state: states.State, event: events.PublishRequested, out: states.Effects
 ) -> None:
-    """Append a publication; its fate is told when it is read back."""
+    """Append a publication; its outcome is decided when it is read back."""
     base = state.revisions.changed.get(event.team, 0)
     if event.base != base:
         _finish(out, event.request, False, ids.Revision(base), _conflict(event, base))
@@ -75,7 +76,7 @@
 
 
 def on_append_failed(state: states.State, append: int, out: states.Effects) -> None:
-    """Tell an author that the log certainly did not take the publication."""
+    """Report a publication that was certainly not appended."""
     record_id = state.revisions.appends.pop(append, "")
     publication = state.revisions.pending.pop(record_id, None)
     if publication is None:
@@ -85,7 +86,7 @@
 
 
 def on_read(state: states.State, *, first: int, oldest: int, gap: bool) -> None:
-    """Take in where reading stands before the records themselves."""
+    """Update whether the history of publications is complete, before new records."""
     revisions = state.revisions
     if gap:
         revisions.complete = False
@@ -99,7 +100,7 @@
     record: messages.PublishRecord,
     out: states.Effects,
 ) -> bool:
-    """Decide a publication.
+    """Decide a publication read from the log.
 
     :return: whether a new revision is in force.
     """
@@ -135,7 +136,7 @@
 def on_snapshot(
     state: states.State, snapshot: messages.ConfigSnapshot, out: states.Effects
 ) -> bool:
-    """Take in a snapshot of the log or a difference sent by a peer.
+    """Handle a snapshot from the log, or the changed documents sent by a peer.
 
     :return: whether a new revision is in force.
     """
@@ -155,7 +156,7 @@
 
 
 def snapshot(state: states.State, *, since: int) -> messages.ConfigSnapshot:
-    """Return what changed after a revision, with the digest of the whole."""
+    """Return the documents changed after a revision, with the digest of all."""
     revisions = state.revisions
     documents = {
         team: text
@@ -171,7 +172,7 @@
 
 
 def config_digest(state: states.State) -> int:
-    """Return what tells two sets of one revision apart, 0 where there can be no two."""
+    """Return a checksum of the documents; 0 if the revision alone identifies them."""
     if not state.log.was_restored:
         return 0
     return zlib.crc32(state.configuration.digest.encode())
@@ -184,9 +185,10 @@
     digest: int,
     out: states.Effects,
 ) -> None:
-    """Fetch the configuration from a peer that has a later revision, or another set.
+    """Fetch the configuration from a peer with a later revision, or with different
+    documents of the same revision.
 
-    :param digest: the peer's :func:`word`.
+    :param digest: the peer's :func:`config_digest`.
     """
     revisions = state.revisions
     own = config_digest(state)
@@ -214,7 +216,7 @@
 def check_timeouts(
     state: states.State, now: ids.Milliseconds, out: states.Effects
 ) -> None:
-    """Tell authors whose publication the log does not confirm in time."""
+    """Report publications that the log did not confirm in time."""
     for publication in list(state.revisions.pending.values()):
         if now - publication.since > PUBLISH_TIMEOUT_MS:
             del state.revisions.pending[publication.id]
@@ -229,10 +231,10 @@
 def renew_snapshot(
     state: states.State, now: ids.Milliseconds, out: states.Effects
 ) -> None:
-    """Append the accepted set anew before retention drops it.
+    """Append the accepted set again before retention drops it.
 
-    The member with the lowest id does it. Where views differ two may; the second
-    record changes nothing.
+    The live member with the lowest id does so. If views of the membership differ,
+    several may; further records have no effect.
     """
     revisions = state.revisions
     if not revisions.complete or revisions.revision == 0:
@@ -257,7 +259,7 @@
 
 
 def on_log_restored(state: states.State) -> None:
-    """Append the accepted set anew, as the log may have lost a part of it."""
+    """Let the accepted set be appended again, as the log may have lost it."""
     state.revisions.snapshot_at = -math.inf
 
 
@@ -276,7 +278,9 @@
     documents.update(snapshot.documents)
     if configuration.digest_of(documents) != snapshot.digest:
         operator_log.warn(
-            out, "config", f"Digest of revision {snapshot.revision} differs."
+            out,
+            "config",
+            f"Digest of revision {snapshot.revision} does not match its documents.",
         )
         revisions.fetch_whole = True
         return False
@@ -287,7 +291,7 @@
 
 
 def _is_later(state: states.State, snapshot: messages.ConfigSnapshot) -> bool:
-    """Tell whether a set is later than the present one, or another of its revision."""
+    """Whether a snapshot is later, or has other documents of the same revision."""
     revisions = state.revisions
     if snapshot.revision != revisions.revision:
         return snapshot.revision > revisions.revision
@@ -297,17 +301,19 @@
 def _merge(
     state: states.State, snapshot: messages.ConfigSnapshot, out: states.Effects
 ) -> bool:
-    """Take the later document of each team; where those don't fit together, one set."""
+    """Take the later document of each team; if the result is invalid, the later set."""
     revisions = state.revisions
     revisions.fetch_whole = False
-    own, told = revisions.documents, snapshot.documents
-    if configuration.digest_of(told) != snapshot.digest:
+    own, received = revisions.documents, snapshot.documents
+    if configuration.digest_of(received) != snapshot.digest:
         operator_log.warn(
-            out, "config", f"Digest of revision {snapshot.revision} differs."
+            out,
+            "config",
+            f"Digest of revision {snapshot.revision} does not match its documents.",
         )
         return False
     documents, changed = dict(own), dict(revisions.changed)
-    for team, text in told.items():
+    for team, text in received.items():
         at = snapshot.revisions[team]
         if (at, text) > (changed.get(team, 0), own.get(team, "")):
             documents[team], changed[team] = text, at
@@ -317,7 +323,7 @@
         present = (revisions.revision, state.configuration.digest)
         if present > (snapshot.revision, snapshot.digest):
             return False
-        documents, changed = dict(told), dict(snapshot.revisions)
+        documents, changed = dict(received), dict(snapshot.revisions)
     revision = ids.Revision(max(snapshot.revision, revisions.revision))
     if documents == own and revision == revisions.revision:
         return False
@@ -334,7 +340,9 @@
 ) -> None:
     """Put a set of documents in force as a whole."""
     if revision < state.revisions.revision:
-        raise AssertionError(f"revision {revision} is earlier than the present one")
+        raise AssertionError(
+            f"revision {revision} is lower than {state.revisions.revision}, in force"
+        )
     state.configuration = configuration.Configuration(documents)
     state.membership.version += 1
     state.revisions.documents = documents
@@ -353,8 +361,8 @@
 
 
 def _is_new(state: states.State, record: messages.PublishRecord) -> bool:
-    """Tell whether a record at an offset below the revision was appended after the log
-    was restored, and not decided before. What was decided has another base since."""
+    """Whether a record at an offset below the revision was appended after the log was
+    restored, and not decided before. A decided one has an outdated base."""
     if not state.log.was_restored:
         return False
     return record.base == state.revisions.changed.get(record.team, 0)
@@ -377,13 +385,13 @@
     record: messages.PublishRecord,
     out: states.Effects,
 ) -> None:
-    """Tell an author whose record was decided by the sender of a snapshot."""
+    """Report a publication that the sender of a snapshot decided."""
     changed = state.revisions.changed.get(record.team, 0)
     if changed == offset + 1:
         _record_outcome(state, record, "accepted", ids.Revision(changed))
         _finish_pending(state, record.id, True, ids.Revision(changed), "", out)
         return
-    problem = f"conflict or overtaken: {record.team} changed at revision {changed}"
+    problem = f"conflict or superseded: {record.team} changed at revision {changed}"
     _finish_pending(state, record.id, None, ids.Revision(changed), problem, out)
 
 
--- a/src/gingerturn/internal/core/streams.py
+++ b/src/gingerturn/internal/core/streams.py
@@ -1,4 +1,4 @@
-"""Following streams of the log, within a budget of reads."""
+"""Readers of the streams of the log, with a bounded rate of reads."""
 
 import math
 
@@ -12,16 +12,16 @@
 )
 
 READS_PER_SECOND = 100.0
-"""Reads of the configuration and member streams by all nodes together. One node
-that reads tells the others by gossip, so more readers would not make a change
-known sooner; each node's own pause grows with the number of members."""
+"""Reads of the configuration and member streams by all nodes together. One node that
+reads a change is enough, as it notifies the others by gossip, so the delay between
+the reads of a node grows with the number of members."""
 
 RETRY_FIRST_MS = 200.0
 RETRY_MAX_MS = 10_000.0
 
 KEYED_RETRY_MAX_MS = 1_000.0
-"""A keyed stream is asked for again each second at the latest: what lapsed while the
-log was away is to be known again within two seconds of its return."""
+"""Limit of the delay before a failed read of a keyed stream is repeated, so that its
+records are current again soon after the log returns."""
 
 CONFIG = "config"
 MEMBERS = "members"
@@ -37,10 +37,10 @@
     keyed: bool = False,
     followed: bool = True,
 ) -> None:
-    """Begin to follow a stream, from the oldest record still held.
+    """Start reading a stream, from the oldest record that the log holds.
 
-    :param keyed: from the newest record of each key instead.
-    :param followed: read on as records come; otherwise reading ends there.
+    :param keyed: start with a base read, of the newest record of each key, instead.
+    :param followed: keep reading as records are appended.
     """
     if name in state.streams:
         return
@@ -60,9 +60,9 @@
     end: int,
     extra: bool = False,
 ) -> bool:
-    """Take in where a read ended.
+    """Move the offset of a stream behind the records of a read.
 
-    :param extra: it was made beside those by which the stream is followed.
+    :param extra: the read is not one of those that follow the stream.
     :return: whether records were missed since the last read.
     """
     _log_recovery(stream, out)
@@ -76,17 +76,17 @@
         stream.caught_up = True
     if gap:
         stream.covered_from = state.now
-        # Of a keyed stream nothing was missed that its newest records do not tell.
+        # In a keyed stream a base read makes up for missed records.
         stream.base_read = False
     if not extra:
-        stream.retry_at = state.now + _pause(state, stream)
+        stream.retry_at = state.now + _read_delay(state, stream)
     return gap
 
 
 def on_base_read(
     state: states.State, stream: states.Stream, *, end: int, out: states.Effects
 ) -> None:
-    """Take in that the newest records of a keyed stream were read."""
+    """Handle a base read of a keyed stream."""
     _log_recovery(stream, out)
     stream.read_pending = False
     stream.failures = 0
@@ -100,8 +100,8 @@
 
 
 def reset_coverage(state: states.State) -> None:
-    """Count the streams that were not read yet as covered from now on only: a log that
-    was restored from a backup may lack records that were appended before."""
+    """Mark streams that were not read to their end yet as covered from now on only, as
+    a log that was restored from a backup may lack earlier records."""
     if not state.log.was_restored:
         return
     for stream in state.streams.values():
@@ -110,43 +110,43 @@
 
 
 def restart(state: states.State, stream: states.Stream) -> None:
-    """Read a stream anew: no offset that was known of it holds any more."""
+    """Read a stream from its start, as its known offsets are no longer valid."""
     stream.generation += 1
     stream.read_pending = False
     stream.outdated = False
     stream.caught_up = False
     stream.offset = 0
     stream.retry_at = state.now
-    # One that is not followed is read again when it is.
+    # A stream that is not followed is read again once it is.
     stream.base_read = stream.base_read and not stream.followed
     stream.covered_from = state.now
 
 
 def skip_missing(state: states.State, stream: states.Stream, first: int) -> None:
-    """Read on behind records that the log dropped.
+    """Continue after records that the log dropped.
 
     :param first: the first offset that it holds.
     """
     if stream.keyed:
-        # The newest records tell all that was missed.
+        # A base read makes up for missed records.
         stream.base_read = False
     elif stream.caught_up:
         stream.covered_from = state.now
     stream.offset = first
     stream.read_pending = False
-    # A log that contradicts itself is not asked without pause.
-    pause = (
+    # Avoids a busy loop where the log repeatedly lacks the offsets that it names.
+    delay = (
         0.0
         if stream.consecutive_missing == 1
         else _backoff(state, stream, stream.consecutive_missing)
     )
-    stream.retry_at = state.now + pause
+    stream.retry_at = state.now + delay
 
 
 def record_missing(
     stream: states.Stream, event: events.LogRead, out: states.Effects
 ) -> None:
-    """Count reads whose offset the log does not hold, and write the first in a row."""
+    """Count reads whose offset the log does not hold, and log the first in a row."""
     if not event.missing:
         stream.consecutive_missing = 0
         return
@@ -163,7 +163,7 @@
 def audit(
     state: states.State, record: messages.AuditRecord, out: states.Effects
 ) -> None:
-    """Put an entry on the trail of changes."""
+    """Append a record to the audit trail."""
     out.append(
         effects.Append(
             append=state.next_number(),
@@ -180,9 +180,9 @@
 
 
 def reread(state: states.State, name: str, *, restart_pending: bool = False) -> None:
-    """Read the newest records of a keyed stream again.
+    """Repeat the base read of a keyed stream.
 
-    :param restart_pending: a read that is under way began too early.
+    :param restart_pending: also repeat it after a read that is pending now.
     """
     stream = state.streams.get(name)
     if stream is not None:
@@ -194,8 +194,8 @@
 def on_read_failed(
     state: states.State, stream: states.Stream, out: states.Effects
 ) -> None:
-    """Take in a failed read; back off with jitter so that the log's return is not
-    met by all nodes at once."""
+    """Handle a failed read: back off with jitter, so that not all nodes read at once
+    when the log returns."""
     stream.read_pending = False
     stream.outdated = False
     stream.failures += 1
@@ -207,26 +207,26 @@
 def _backoff(
     state: states.State, stream: states.Stream, tries: int
 ) -> ids.Milliseconds:
-    bound = KEYED_RETRY_MAX_MS if stream.keyed else RETRY_MAX_MS
-    longest: float = min(bound, RETRY_FIRST_MS * 2 ** min(tries, 8))
-    return longest * (0.5 + 0.5 * state.random.random())
+    limit = KEYED_RETRY_MAX_MS if stream.keyed else RETRY_MAX_MS
+    delay: float = min(limit, RETRY_FIRST_MS * 2 ** min(tries, 8))
+    return delay * (0.5 + 0.5 * state.random.random())
 
 
 def retry_due(state: states.State, out: states.Effects) -> None:
-    """Read each stream again whose pause is over."""
+    """Read each stream whose next read is due."""
     for stream in state.streams.values():
         if _awaits_next_read(stream) and state.now >= stream.retry_at:
             _read(stream, out)
 
 
 def next_retry_at(state: states.State) -> ids.Milliseconds:
-    """Return when the next pause of a stream is over."""
+    """Return when the next read of a stream is due."""
     waiting = (s.retry_at for s in state.streams.values() if _awaits_next_read(s))
     return min(waiting, default=math.inf)
 
 
 def _awaits_next_read(stream: states.Stream) -> bool:
-    """Tell whether a stream is to be read again after its pause."""
+    """Whether a stream is to be read again at its ``retry_at``."""
     done = stream.keyed and stream.base_read and not stream.followed
     return not stream.read_pending and not done
 
@@ -236,13 +236,13 @@
     if stream.keyed and not (stream.base_read and stream.caught_up):
         out.append(effects.ReadNewest(stream=stream.name, generation=stream.generation))
         return
-    # Until the end was seen once, an empty stream must say so at once: claims are
-    # refused for as long as that is not known.
+    # No long poll before the end was reached once: claims are refused until then, and
+    # an empty stream would hold the read open.
     out.append(
         effects.ReadLog(
             stream=stream.name,
             offset=stream.offset,
-            # After a failure the question is whether the log answers at all.
+            # After a failure an immediate answer shows whether the log is available.
             wait=stream.caught_up and not stream.failures,
             long_poll_ms=stream.long_poll_ms,
             generation=stream.generation,
@@ -250,7 +250,7 @@
     )
 
 
-def _pause(state: states.State, stream: states.Stream) -> ids.Milliseconds:
+def _read_delay(state: states.State, stream: states.Stream) -> ids.Milliseconds:
     if not stream.caught_up or stream.keyed or stream.name.startswith("claims."):
         return 0.0
     members = len(state.membership.members)
--- a/tests/cover/test_restored_log.py
+++ b/tests/cover/test_restored_log.py
@@ -356,7 +356,7 @@
     out = node.newest(2, end=7, epoch=5)
     assert node.state.version == 1
     lines = [effect.text for effect in builders.all_of(out, effects.WriteLog)]
-    assert "An answer of epoch 5 is not used, the log was at 6." in lines
+    assert "Discarded an answer of epoch 5; the log is at epoch 6." in lines
     assert _reads_newest(node.tick(500.0))
 
 
