--- a/src/gingerturn/internal/core/revisions.py
+++ b/src/gingerturn/internal/core/revisions.py
@@ -391,7 +391,7 @@
         _record_outcome(state, record, "accepted", ids.Revision(changed))
         _finish_pending(state, record.id, True, ids.Revision(changed), "", out)
         return
-    problem = f"conflict or superseded: {record.team} changed at revision {changed}"
+    problem = f"conflict or overtaken: {record.team} changed at revision {changed}"
     _finish_pending(state, record.id, None, ids.Revision(changed), problem, out)
 
 
--- a/tests/cover/test_a_new_start_under_the_same_id.py
+++ b/tests/cover/test_a_new_start_under_the_same_id.py
@@ -1,7 +1,6 @@
-"""A backend server that starts again under the id that it had.
+"""A backend server that restarts under the same instance id.
 
-The pattern: a process crashes and is started anew by its supervisor, which keeps its
-name; a heartbeat of before, delayed by a cut, comes in after the first of the new one.
+Late heartbeats of the former start must not override those of the new one.
 """
 
 import json
@@ -35,22 +34,22 @@
     return events.BackendAnnounced(**{**fields, "started_ms": started_ms})
 
 
-def _home(*, sequence: int = 40) -> states.State:
+def _home_node(*, sequence: int = 40) -> states.State:
     state = routed.node_state()
     first = _announced(started_ms=FIRST_MS, sequence=sequence)
     reducer.reduce(state, first)
     return state
 
 
-def test_its_first_report_holds_though_its_sequence_begins_anew() -> None:
-    state = _home(sequence=40)
+def test_the_first_report_of_a_new_start_counts_despite_its_lower_sequence() -> None:
+    state = _home_node(sequence=40)
     reducer.reduce(state, _announced(started_ms=SECOND_MS, sequence=0, slots=9))
     assert (state.backend.slots, state.backend.started_ms) == (9, SECOND_MS)
 
 
 @pytest.mark.parametrize("sequence", [0, 1, 99])
 def test_a_late_report_of_the_former_start_changes_nothing(sequence: int) -> None:
-    state = _home(sequence=40)
+    state = _home_node(sequence=40)
     reducer.reduce(state, _announced(started_ms=SECOND_MS, slots=9))
     late = _announced(started_ms=FIRST_MS, sequence=sequence, slots=4)
     assert reducer.reduce(state, late) == []
@@ -58,14 +57,14 @@
 
 
 def test_reports_of_one_start_are_ordered_by_their_sequence() -> None:
-    state = _home(sequence=40)
+    state = _home_node(sequence=40)
     reducer.reduce(state, _announced(started_ms=FIRST_MS, sequence=41, slots=9))
     reducer.reduce(state, _announced(started_ms=FIRST_MS, sequence=39, slots=4))
     assert state.backend.slots == 9
 
 
 def test_one_that_left_and_started_again_gets_work() -> None:
-    state = _home()
+    state = _home_node()
     reducer.reduce(state, events.BackendWithdrawn(now=state.now, instance="i-1"))
     reducer.reduce(state, _announced(started_ms=FIRST_MS, sequence=50))
     refused = builders.only(
@@ -78,7 +77,7 @@
 
 
 def test_a_late_leaving_of_the_former_start_takes_nothing_away() -> None:
-    state = _home()
+    state = _home_node()
     reducer.reduce(state, _announced(started_ms=SECOND_MS))
     leaving = events.BackendWithdrawn(
         now=state.now, instance="i-1", started_ms=FIRST_MS
@@ -89,7 +88,7 @@
 
 
 def test_one_that_was_replaced_and_started_again_takes_over() -> None:
-    state = _home()
+    state = _home_node()
     reducer.reduce(state, _announced(started_ms=FIRST_MS + 1, instance="i-2"))
     reducer.reduce(state, _announced(started_ms=FIRST_MS, sequence=90))
     assert state.backend.instance == "i-2"
@@ -98,7 +97,7 @@
 
 
 def test_calls_of_the_former_start_end_unclear_and_free_their_slots() -> None:
-    state = _home()
+    state = _home_node()
     for hosted, repeatable in ((1, True), (2, False)):
         terms = builders.call_terms(repeatable=repeatable)
         reducer.reduce(state, builders.opened(hosted, terms))
@@ -107,7 +106,7 @@
     assert [r.refusal.outcome for r in refusals] == [messages.Outcome.UNKNOWN] * 2
     assert {e.hosted for e in builders.all_of(out, effects.CancelBackend)} == {1, 2}
     assert state.backend.running == 0
-    # What the former one still sends reaches nobody.
+    # Late answers of the former start are dropped.
     late = events.BackendAnswered(now=state.now, hosted=ids.HostedId(2), status=200)
     assert reducer.reduce(state, late) == []
 
@@ -133,7 +132,7 @@
 
 
 def test_nothing_measured_of_the_former_start_holds() -> None:
-    state = _home()
+    state = _home_node()
     backend = state.backend
     backend.level = ids.Rank(70_000)
     backend.times["lookup"] = states.ServiceTime(mean_ms=900.0, measured_at=state.now)
@@ -163,8 +162,8 @@
     assert upstream.outstanding == 0
 
 
-def test_a_home_tells_the_others_of_the_start_beside_it() -> None:
-    state = _home()
+def test_a_home_advertises_the_start_of_its_backend_server() -> None:
+    state = _home_node()
     before = state.membership.self_member
     reducer.reduce(state, _announced(started_ms=SECOND_MS))
     me = state.membership.self_member
@@ -173,11 +172,11 @@
     assert me.version > before.version
     secret = b"s"
     message = builders.gossip(members=(me,))
-    told = datagrams.encode(secret, ids.NodeId("n1"), state.now, message)
-    assert datagrams.decode([secret], told)[2].members == (me,)
+    encoded = datagrams.encode(secret, ids.NodeId("n1"), state.now, message)
+    assert datagrams.decode([secret], encoded)[2].members == (me,)
 
 
-def test_where_no_start_is_told_the_sequence_decides() -> None:
+def test_without_a_start_time_the_sequence_decides() -> None:
     state = routed.node_state()
     reducer.reduce(state, routed.announced(slots=9, sequence=7))
     reducer.reduce(state, routed.announced(slots=4, sequence=2))
@@ -192,8 +191,8 @@
 
 
 def test_the_time_of_the_start_is_read_from_a_heartbeat() -> None:
-    told = beats.decode("i-1", json.dumps({**BEAT, "born": SECOND_MS}).encode())
-    assert told.started_ms == SECOND_MS
+    heartbeat = beats.decode("i-1", json.dumps({**BEAT, "born": SECOND_MS}).encode())
+    assert heartbeat.started_ms == SECOND_MS
     assert beats.decode("i-1", json.dumps(BEAT).encode()).started_ms == 0
     assert beats.decode_leaving("i-1", b"") == 0
     assert beats.decode_leaving("i-1", b'{"born": 7}') == 7
--- a/tests/cover/test_claims_of_a_restored_log.py
+++ b/tests/cover/test_claims_of_a_restored_log.py
@@ -1,7 +1,7 @@
 """Keys of unrepeatable calls after the log was restored without their claims.
 
-A claim is a right by order in the log. The log gives the same right again to another
-node once it has lost the record, so what was claimed before that runs no more.
+The log decides claims by their order. Once it has lost a claim, another node may win
+the same key, so keys claimed before the restoration must not run.
 """
 
 import pytest
@@ -28,38 +28,37 @@
     return root
 
 
-def _homes(made: world.World) -> list[str]:
+def _home_nodes(made: world.World) -> list[str]:
     return [name for name in made.nodes if name.startswith("porting")]
 
 
-# Guards against a key that runs again at a node which knows nothing but what the log
-# still holds.
-@pytest.mark.parametrize("started_anew", ["before", "after"])
+# Guards against a key that runs again at a node which only knows the restored log.
+@pytest.mark.parametrize("restarted", ["before", "after"])
 def test_a_key_whose_claim_was_lost_does_not_run_at_a_node_that_started_anew(
-    started_anew: str,
+    restarted: str,
 ) -> None:
     made = small.new_world(gossip=True)
     truth = small.Truth(made)
     copy = made.log.copy()
     key = small.key_of(made, 1)
     assert _send(made, key, number=10).answer == "ok"
-    if started_anew == "before":
+    if restarted == "before":
         made.log.restore(copy)
-    for name in _homes(made):
+    for name in _home_nodes(made):
         made.kill(name)
         made.restart(name)
-    if started_anew == "after":
+    if restarted == "after":
         made.run(200.0)
         made.log.restore(copy)
     made.run(3_000.0)
     assert _send(made, key, number=11).answer != "ok"
     assert truth.twice == []
-    # What is new runs as ever.
+    # New keys run.
     assert _send(made, small.key_of(made, 2), number=20).answer == "ok"
 
 
-def _home() -> states.State:
-    """Return a home whose claims were read from a log that was never restored."""
+def _home_node() -> states.State:
+    """Return a home node that read the claims of a log which was never restored."""
     state = builders.node_state("n1")
     reducer.reduce(state, builders.announced("porting", slots=4, now=state.now))
     _claims_read(state, epoch=1)
@@ -79,7 +78,7 @@
     return reducer.reduce(state, builders.opened(hosted, terms, now=state.now))
 
 
-def _hear_epoch(state: states.State, epoch: int) -> list[effects.Effect]:
+def _report_epoch(state: states.State, epoch: int) -> list[effects.Effect]:
     message = messages.Gossip(
         kind=messages.GossipKind.PING,
         sequence=1,
@@ -109,16 +108,16 @@
     )
 
 
-# Guards against a key that runs at the second of two nodes which claimed it, since the
-# log lost the claim of the first and took that of the second afterwards.
+# Guards against a key that runs at two nodes, since the log lost the claim of the first
+# one and accepted that of the second.
 def test_a_claim_under_way_when_the_log_was_restored_wins_nothing() -> None:
-    state = _home()
+    state = _home_node()
     key = builders.key_at(state.now)
     _open(state, 1, key)
     own = messages.ClaimRecord(
         key=key, claim=state.keys[key].claim, node=keys.own_name(state)
     )
-    out = _hear_epoch(state, 2)
+    out = _report_epoch(state, 2)
     assert builders.all_of(out, effects.SendRefusal)
     out = _claims_read(state, own, epoch=2)
     out += _open(state, 2, key)
@@ -126,8 +125,8 @@
 
 
 def test_a_derived_key_is_claimed_again_once_no_request_of_before_can_be_left() -> None:
-    state = _home()
-    _hear_epoch(state, 2)
+    state = _home_node()
+    _report_epoch(state, 2)
     _claims_read(state, epoch=2)
     _open(state, 1, "derived-1", derived=True)
     assert "derived-1" not in state.keys
@@ -138,6 +137,6 @@
 
 
 def test_on_a_log_that_was_never_restored_derived_keys_are_claimed_at_once() -> None:
-    state = _home()
+    state = _home_node()
     _open(state, 1, "derived-1", derived=True)
     assert state.keys["derived-1"].phase is states.KeyPhase.CLAIMING
--- a/tests/cover/test_configuration_on_a_restored_log.py
+++ b/tests/cover/test_configuration_on_a_restored_log.py
@@ -1,8 +1,7 @@
 """Documents that teams publish on a log which is restored from a backup.
 
-Revisions are numbered by the log's order, and the log gives its offsets out again. What
-was accepted stays in force, what is published next gets a later revision, and all nodes
-come to the same documents.
+Revisions are derived from offsets, which a restored log assigns again. Accepted
+documents stay in force, later publications get later revisions, and nodes converge.
 """
 
 import dataclasses
@@ -43,18 +42,18 @@
 
 @dataclasses.dataclass
 class _Log:
-    """The configuration stream, and in which epoch it is."""
+    """The configuration stream and its epoch."""
 
     records: list[object] = dataclasses.field(default_factory=list)
     epoch: int = 1
 
     def restore(self, count: int) -> None:
-        """Come back with only the first records."""
+        """Restore the log with only the first records."""
         del self.records[count:]
         self.epoch += 1
 
     def read_by(self, state: states.State) -> list[effects.Effect]:
-        """Let a node read to the end; a second time if the epoch was news."""
+        """Let a node read to the end, twice, as a new epoch restarts the stream."""
         out: list[effects.Effect] = []
         for _ in range(2):
             stream = state.streams[streams.CONFIG]
@@ -82,13 +81,13 @@
 def _publish(
     log: _Log, name: str, team: str, state: states.State, service: str = ""
 ) -> None:
-    """Append a publication of an author who saw what a node has in force."""
+    """Append a publication based on the documents in force at a node."""
     base = state.revisions.changed.get(team, 0)
     log.records.append(_record(name, team, base, service))
 
 
 def _fetch(state: states.State, other: states.State) -> None:
-    """Let a node hear of another's revision, and fetch what it lacks."""
+    """Gossip the revision of another node, and let the node fetch what it lacks."""
     message = messages.Gossip(
         kind=messages.GossipKind.ACK,
         sequence=0,
@@ -100,13 +99,13 @@
     sender = str(other.node)
     out = reducer.reduce(state, builders.datagram(sender, message, now=state.now))
     for effect in builders.all_of(out, effects.FetchSnapshot):
-        told = revisions.snapshot(other, since=effect.since)
-        received = events.SnapshotReceived(now=state.now, snapshot=told)
+        snapshot = revisions.snapshot(other, since=effect.since)
+        received = events.SnapshotReceived(now=state.now, snapshot=snapshot)
         reducer.reduce(state, received)
 
 
-# Guards against a publication that nobody puts in force after the log was restored,
-# since its offset is lower than the revision in force.
+# Guards against publications that are ignored after the log was restored, since their
+# offset is lower than the revision in force.
 def test_what_is_published_afterwards_is_in_force_by_a_later_revision() -> None:
     log, node = _Log(), _node()
     for name in ("a", "b", "c"):
@@ -135,7 +134,7 @@
         if effect.stream == streams.CONFIG
     ]
     assert [record.revision for record in written] == [2]
-    # A node that starts anew has it from there.
+    # A node that starts now reads it from there.
     log.records += written
     started = _node("n2")
     log.read_by(started)
@@ -160,7 +159,7 @@
     _publish(log, "a", "shop", other)
     log.read_by(one)
     log.read_by(other)
-    # The one publication that only the other read is lost; the next has its number.
+    # A publication that only the other node read is lost; the next reuses its offset.
     _publish(log, "b", "shop", other)
     log.read_by(other)
     log.restore(1)
@@ -178,13 +177,13 @@
     builders.add_members(node, builders.member("n2", "plans"))
 
     def take(documents: dict[str, str], changed: dict[str, int]) -> None:
-        told = messages.ConfigSnapshot(
+        snapshot = messages.ConfigSnapshot(
             revision=max(changed.values()),
             documents=documents,
             revisions=changed,
             digest=configuration.digest_of({"shop": _text("a"), "mill": _text("b")}),
         )
-        reducer.reduce(node, events.SnapshotReceived(now=node.now, snapshot=told))
+        reducer.reduce(node, events.SnapshotReceived(now=node.now, snapshot=snapshot))
 
     take({"mill": _text("b")}, {"shop": 1, "mill": 2})
     assert _fetched_since(node, 2) == 0
@@ -194,7 +193,7 @@
 
 
 def _fetched_since(state: states.State, revision: int) -> int:
-    """Return from which revision on a peer's documents are fetched that has a later."""
+    """Return the ``since`` of the fetch from a peer that has a later revision."""
     message = messages.Gossip(
         kind=messages.GossipKind.ACK, sequence=0, revision=ids.Revision(revision)
     )
@@ -208,8 +207,8 @@
 def test_nodes_come_to_the_same_documents_whatever_the_log_loses(
     seed: int, services: list[str]
 ) -> None:
-    """Two documents that name the same service don't fit together."""
-    chance = random.Random(seed)
+    """Documents that name the same service are invalid together."""
+    rng = random.Random(seed)
     log = _Log()
     nodes = [_node(f"n{number}") for number in range(3)]
     for node in nodes:
@@ -217,15 +216,15 @@
         members = [builders.member(str(other.node), "plans") for other in others]
         builders.add_members(node, *members)
     for number in range(30):
-        step = chance.random()
-        node = chance.choice(nodes)
+        step = rng.random()
+        node = rng.choice(nodes)
         if step < 0.4:
-            service = chance.choice(services) if services else ""
-            _publish(log, f"p{number}", chance.choice(["shop", "mill"]), node, service)
+            service = rng.choice(services) if services else ""
+            _publish(log, f"p{number}", rng.choice(["shop", "mill"]), node, service)
         elif step < 0.5:
-            log.restore(chance.randint(0, len(log.records)))
+            log.restore(rng.randint(0, len(log.records)))
         elif step < 0.7:
-            _fetch(node, chance.choice([n for n in nodes if n is not node]))
+            _fetch(node, rng.choice([n for n in nodes if n is not node]))
         before = node.revisions.revision
         log.read_by(node)
         assert node.revisions.revision >= before
--- a/tests/cover/test_gaps_in_the_log.py
+++ b/tests/cover/test_gaps_in_the_log.py
@@ -1,4 +1,4 @@
-"""Records of the log that retention drops before a reader has seen them."""
+"""Records that the log drops by retention before a reader has read them."""
 
 from gingerturn.internal.core import effects, events, state as states, streams
 from tests.common import builders
@@ -54,7 +54,7 @@
     assert stream.offset == 10
 
 
-def test_reads_of_an_offset_that_the_log_lacks_are_counted_and_told_once() -> None:
+def test_reads_of_an_offset_that_the_log_lacks_are_counted_and_logged_once() -> None:
     state, stream = _followed()
     refused = events.LogRead(
         now=state.now,
--- a/tests/cover/test_keyed_members.py
+++ b/tests/cover/test_keyed_members.py
@@ -1,4 +1,4 @@
-"""Members that find one another by a log which keeps the newest of each key."""
+"""Discovery of members by join records on a keyed log."""
 
 from gingerturn.internal.core import (
     effects,
@@ -13,7 +13,7 @@
 from tests.common import builders, routed
 
 
-def _begun() -> tuple[states.State, list[effects.Effect]]:
+def _started() -> tuple[states.State, list[effects.Effect]]:
     begin = routed.started()
     state = reducer.new_state(begin)
     return state, reducer.reduce(state, begin)
@@ -49,7 +49,7 @@
 
 
 def test_the_own_record_is_put_before_the_others_are_read() -> None:
-    state, out = _begun()
+    state, out = _started()
     put = builders.only(out, effects.PutRecord)
     assert put.key == "n1"
     read = [e.stream for e in builders.all_of(out, effects.ReadNewest)]
@@ -59,31 +59,31 @@
 
 
 def test_a_record_that_was_not_acknowledged_is_put_again() -> None:
-    state, out = _begun()
+    state, out = _started()
     put = builders.only(out, effects.PutRecord)
     reducer.reduce(state, events.PutFailed(now=state.now, put=put.put))
     out = builders.passed(state, 2_500.0)
     assert builders.all_of(out, effects.PutRecord)
 
 
-def test_listed_nodes_are_greeted_again_until_they_are_met() -> None:
-    state, out = _begun()
+def test_listed_nodes_are_contacted_again_until_they_are_members() -> None:
+    state, out = _started()
     _put_done(state, builders.only(out, effects.PutRecord).put)
     out = _listed(state, "n2", "n3")
     assert {e.port for e in builders.all_of(out, effects.SendGossip)} == {9000, 9001}
     builders.add_members(state, builders.member("n2", "plans"))
     out = builders.passed(state, 5_000.0)
-    greeted = [
+    contacted = [
         e.port
         for e in builders.all_of(out, effects.SendGossip)
         if e.message.kind is messages.GossipKind.SYNC_REQUEST
     ]
-    assert set(greeted) == {9001}
-    assert len(greeted) == joining.CONTACT_ATTEMPTS - 1
+    assert set(contacted) == {9001}
+    assert len(contacted) == joining.CONTACT_ATTEMPTS - 1
 
 
 def test_a_node_is_ready_once_it_has_routes_and_the_members_were_read() -> None:
-    state, out = _begun()
+    state, out = _started()
     assert not readiness.is_ready(state)
     reducer.reduce(state, events.RoutesReceived(now=state.now, table=routed.table()))
     assert not readiness.is_ready(state)
@@ -97,9 +97,9 @@
 def test_members_are_read_again_if_a_read_was_under_way_when_the_own_record_came() -> (
     None
 ):
-    # That read may have missed a node which read before this node's record was there:
-    # neither would have heard of the other.
-    state, out = _begun()
+    # That read may have missed a node which itself read before this node's record was
+    # put, so that neither would find the other.
+    state, out = _started()
     put = builders.only(out, effects.PutRecord).put
     reducer.reduce(state, events.PutFailed(now=state.now, put=put))
     out = builders.passed(
@@ -115,7 +115,7 @@
 
 
 def test_a_failed_read_is_tried_again_within_a_second() -> None:
-    state, out = _begun()
+    state, out = _started()
     _put_done(state, builders.only(out, effects.PutRecord).put)
     for _ in range(12):
         failed = events.LogReadFailed(now=state.now, stream=streams.MEMBERS)
@@ -126,7 +126,7 @@
 
 
 def test_history_that_was_dropped_leads_back_to_the_newest_record() -> None:
-    state, _ = _begun()
+    state, _ = _started()
     record = messages.encode_record(routed.table(version=3))
     stream = streams.ROUTES
     reducer.reduce(
@@ -142,9 +142,9 @@
 
 
 def test_a_sender_that_is_not_known_is_asked_who_there_is() -> None:
-    # A node that was restarted while the log was away was pinged by its peers, and did
-    # not know them: their own records had long ceased to ride along.
-    state, _ = _begun()
+    # After a restart without the log, the peers are unknown, and their own records are
+    # no longer gossiped.
+    state, _ = _started()
     ping = builders.gossip(route_version=3)
     out = reducer.reduce(state, builders.datagram("n2", ping, now=state.now))
     kinds = [e.message.kind for e in builders.all_of(out, effects.SendGossip)]
--- a/tests/cover/test_membership.py
+++ b/tests/cover/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership on the fakes: joining, dying, leaving, parting and merging."""
+"""Membership: joining, failing, leaving, network partitions and merging."""
 
 import msgspec
 import pytest
@@ -20,7 +20,7 @@
 
 
 def _known(made: world.World, name: str) -> dict[str, str]:
-    """Return what a node knows of the others."""
+    """Return the states of the other members, as a node knows them."""
     members = made.nodes[name].state.membership.members
     return {str(n): m.state.name.lower() for n, m in members.items() if n != name}
 
@@ -60,7 +60,7 @@
     made.run(2_000)
     made.apply("plans-2", events.StopRequested(now=made.now))
     made.run(3_000)
-    # A leaving member whose acknowledgement is lost is gone; neither gets new work.
+    # A leaving member whose acknowledgement is lost is gone; neither gets new calls.
     assert _all_know(made, "plans-2", "leaving", "gone")
 
 
@@ -71,8 +71,8 @@
     far = [name for name in made.nodes if name not in near]
     made.cut = {(a, b) for a in near for b in far} | {(b, a) for a in near for b in far}
     made.run(30_000)
-    # The larger side declares the smaller gone; the smaller, which misses more than
-    # half of all members, takes itself for isolated and declares nobody gone.
+    # The larger side declares the smaller one gone. The smaller side misses more than
+    # half of all members, takes itself to be isolated and declares nobody gone.
     assert _known(made, far[0])["plans-1"] == "gone"
     assert "gone" not in _known(made, "plans-1").values()
     made.cut = set()
@@ -107,18 +107,18 @@
     return {name: getattr(member, name) for name in member.__struct_fields__}
 
 
-def test_a_node_refutes_what_is_said_of_it() -> None:
+def test_a_node_refutes_a_suspicion_of_itself() -> None:
     state = builders.node_state("n1")
     me = state.membership.self_member
     assert me is not None
-    rumour = messages.Member(**{**_fields(me), "state": STATES.SUSPECT})
+    suspicion = messages.Member(**{**_fields(me), "state": STATES.SUSPECT})
     builders.add_members(state, builders.member("p1", "plans"))
-    builders.add_members(state, builders.member("p2", "plans"), rumour)
+    builders.add_members(state, builders.member("p2", "plans"), suspicion)
     assert state.membership.members["n1"].state is STATES.ALIVE
     assert state.membership.members["n1"].version == me.version + 1
 
 
-def test_news_that_come_thick_are_pushed_together() -> None:
+def test_pushes_are_rate_limited() -> None:
     state = builders.node_state("n1")
     builders.add_members(state, *[builders.member(f"p{n}", "plans") for n in range(40)])
     sent = 0
@@ -160,38 +160,40 @@
         assert len(effect.message.members) <= member_table.UPDATES_PER_MESSAGE
 
 
-def _told(state: states.State, member: messages.Member) -> list[str]:
-    """Return the lines that a node writes when n3 tells it of a member."""
+def _logged(state: states.State, member: messages.Member) -> list[str]:
+    """Return the lines that a node logs for an update about a member from n3."""
     message = builders.gossip(members=(member,))
     out = reducer.reduce(state, builders.datagram("n3", message, now=state.now))
     return [line.text for line in builders.all_of(out, effects.WriteLog)]
 
 
 def test_each_change_of_belief_about_a_member_is_told_with_its_source() -> None:
-    """The end of a member that another node found first was taken in silently."""
+    """Guards against state changes reported by other nodes that are not logged."""
     state = builders.node_state()
     known = builders.member("n2", "plans")
-    assert _told(state, known) == [
+    assert _logged(state, known) == [
         "n2 is a new member, version 1, offers plans; source: n3."
     ]
     suspect = msgspec.structs.replace(known, state=STATES.SUSPECT)
-    assert _told(state, suspect) == ["n2 is suspected, version 1; source: n3."]
+    assert _logged(state, suspect) == ["n2 is suspected, version 1; source: n3."]
     refuted = msgspec.structs.replace(known, version=2)
-    assert _told(state, refuted) == ["n2 is alive again, version 2; source: n3."]
+    assert _logged(state, refuted) == ["n2 is alive again, version 2; source: n3."]
     gone = msgspec.structs.replace(refuted, state=STATES.GONE)
-    assert _told(state, gone) == ["n2 is gone, version 2; source: n3."]
-    assert _told(state, gone) == []
-    anew = msgspec.structs.replace(refuted, incarnation=ids.Incarnation(2), service="")
-    assert _told(state, anew) == [
+    assert _logged(state, gone) == ["n2 is gone, version 2; source: n3."]
+    assert _logged(state, gone) == []
+    restarted = msgspec.structs.replace(
+        refuted, incarnation=ids.Incarnation(2), service=""
+    )
+    assert _logged(state, restarted) == [
         "n2 restarted, version 2, offers nothing; source: n3."
     ]
-    back = msgspec.structs.replace(anew, version=3, service="plans")
-    assert _told(state, back) == ["n2 is alive, version 3, offers plans; source: n3."]
+    back = msgspec.structs.replace(restarted, version=3, service="plans")
+    assert _logged(state, back) == ["n2 is alive, version 3, offers plans; source: n3."]
     leaving = msgspec.structs.replace(back, state=STATES.LEAVING)
-    assert _told(state, leaving) == ["n2 is leaving, version 3; source: n3."]
+    assert _logged(state, leaving) == ["n2 is leaving, version 3; source: n3."]
 
 
-def test_a_member_found_silent_by_the_own_probes_is_told_so() -> None:
+def test_a_member_suspected_by_own_probes_is_logged_with_that_source() -> None:
     state = builders.node_state()
     builders.add_members(state, builders.member("n2", "plans"))
     out = builders.passed(state, 8_000)
--- a/tests/cover/test_pollers.py
+++ b/tests/cover/test_pollers.py
@@ -1,8 +1,4 @@
-"""Who waits at the platform's log for a new route table, and how all others get it.
-
-The pattern: 194 nodes in five zones, each call on the log has its price, and operators
-change the table some times a minute and want it in force everywhere within two seconds.
-"""
+"""Selection of the nodes that long-poll the log, and propagation of route tables."""
 
 import pytest
 
@@ -21,10 +17,10 @@
 
 ZONES = ["a", "b", "c", "d", "e"]
 IN_FORCE_MS = 2_000.0
-"""Operators expect a change to be in force by then."""
+"""Time within which a change must be in force."""
 
 SETTLED_MS = 3_000.0
-"""After a fault of the log nodes are given this long before that holds again."""
+"""Time allowed after a fault of the log before that applies again."""
 
 
 def _node(name: str, *others: messages.Member) -> states.State:
@@ -38,52 +34,52 @@
     return [builders.member(f"{zone}{n}", "plans", zone=zone) for n in range(count)]
 
 
-def _waiting(count: int) -> list[str]:
+def _pollers(count: int) -> list[str]:
     members = _members(count)
-    found = []
+    names = []
     for member in members:
         state = _node(member.node, *members, *_members(20, zone="b"))
         if pollers.is_poller(state, state.now):
-            found.append(str(member.node))
-    return found
+            names.append(str(member.node))
+    return names
 
 
-@pytest.mark.parametrize(("count", "waiting"), [(1, 1), (2, 2), (5, 2), (60, 2)])
-def test_two_nodes_of_a_zone_wait_whatever_its_size(count: int, waiting: int) -> None:
-    assert len(_waiting(count)) == waiting
+@pytest.mark.parametrize(("count", "expected"), [(1, 1), (2, 2), (5, 2), (60, 2)])
+def test_two_nodes_of_a_zone_poll_whatever_its_size(count: int, expected: int) -> None:
+    assert len(_pollers(count)) == expected
 
 
 def test_when_one_is_suspected_the_next_takes_its_place() -> None:
-    first = _waiting(10)
+    first = _pollers(10)
     members = _members(10)
     suspect = builders.member(first[0], "plans", zone="a")
     fields = {name: getattr(suspect, name) for name in suspect.__struct_fields__}
     fields["state"] = messages.MemberState.SUSPECT
-    now_waiting = []
+    remaining = []
     for member in members:
         state = _node(member.node, *members)
         if member.node != first[0]:
             builders.add_members(state, messages.Member(**fields))
         if pollers.is_poller(state, state.now):
-            now_waiting.append(str(member.node))
-    assert len(set(now_waiting) - {first[0]}) == 2
+            remaining.append(str(member.node))
+    assert len(set(remaining) - {first[0]}) == 2
 
 
-def test_a_node_that_hears_from_nobody_waits_itself() -> None:
+def test_a_node_that_receives_no_gossip_polls_itself() -> None:
     members = _members(10)
-    name = next(str(m.node) for m in members if m.node not in _waiting(10))
+    name = next(str(m.node) for m in members if m.node not in _pollers(10))
     state = _node(name, *members)
     assert not pollers.is_poller(state, state.now)
     assert pollers.is_poller(state, state.now + pollers.ISOLATED_AFTER_MS + 1.0)
 
 
-def test_a_node_that_need_not_wait_makes_no_further_read() -> None:
+def test_a_node_that_is_no_poller_makes_no_further_read() -> None:
     members = _members(10)
-    name = next(str(m.node) for m in members if m.node not in _waiting(10))
+    name = next(str(m.node) for m in members if m.node not in _pollers(10))
     state = _node(name, *members)
     newest = events.NewestRead(now=state.now, stream=streams.ROUTES, end=4, records=())
     out = reducer.reduce(state, newest)
-    # Shorter than it takes to suspect members whose answers nobody plays here.
+    # Shorter than the probe timeout, as no member answers probes here.
     for _ in range(6):
         state.now += 100.0
         out += reducer.reduce(state, events.Tick(now=state.now))
@@ -113,9 +109,8 @@
 
 
 def test_a_change_made_while_the_log_is_silent_is_in_force_soon_after() -> None:
-    """Seen: a configuration was unknown to all nodes 11 s after it was published and
-    8 s after the log spoke again. The log took reads for 3.6 s and answered none; all
-    nodes that wait had begun one then, which each gives up only after 17 s."""
+    """Guards against pollers that all wait for the timeout of a long poll which the log
+    never answers."""
     spec = parts.ServiceSpec("plans", 15, 4, {"lookup": 5.0})
     table = routed.table(routed.route())
     made = world.World(seed=3, services=[spec], documents={}, zones=ZONES, table=table)
@@ -132,8 +127,8 @@
     assert versions == {2}
 
 
-# Guards against a read that was begun a moment before a log speaks again, and hangs for
-# longer than operators allow a change to take.
+# Guards against a long poll that the log never answers and that lasts longer than a
+# change may take to be in force.
 @pytest.mark.parametrize("phase_ms", range(0, 4_500, 100))
 def test_a_change_is_in_force_in_time_whenever_a_silence_of_the_log_began(
     phase_ms: int,
--- a/tests/cover/test_restored_log.py
+++ b/tests/cover/test_restored_log.py
@@ -1,8 +1,7 @@
 """A log that is restored from a backup.
 
-Records that it acknowledged are gone then, offsets are given out again, and a read from
-one that it does not have is refused. Operators publish again what was lost, and expect
-each version to be in force two seconds after its acknowledgement.
+Acknowledged records are lost, their offsets are assigned again, and reads of offsets
+that the log lacks are refused. Versions published afterwards must be in force in time.
 """
 
 import hypothesis
@@ -29,7 +28,7 @@
 ZONES = ["a", "b", "c"]
 POLLERS = pollers.POLLERS_PER_ZONE * len(ZONES)
 IN_FORCE_MS = 2_000.0
-"""Operators expect a change to be in force by then."""
+"""Time within which a change must be in force."""
 
 AWAY_MS = 2_000.0
 
@@ -56,7 +55,7 @@
 
 
 def _publish_and_lose(made: world.World, *versions: int) -> None:
-    """Publish versions that come into force, and bring the log back without them."""
+    """Publish versions that come into force, and restore the log without them."""
     copy = made.log.copy()
     for version in versions:
         _publish(made, version)
@@ -67,9 +66,9 @@
 def _restore(
     made: world.World, copy: fake_log.Copy, *, then: tuple[int, ...] = ()
 ) -> None:
-    """Bring the log back after some time away.
+    """Restore the log from a copy, with an outage.
 
-    :param then: versions that it has taken by the time that nodes can read it.
+    :param then: versions appended before nodes can read it again.
     """
     made.log.down = True
     made.log.restore(copy)
@@ -78,8 +77,7 @@
     made.log.down = False
 
 
-# Guards against readers that ask for ever for an offset which a restored log lacks: a
-# change that was acknowledged was in force nowhere until the log was as long as before.
+# Guards against readers that keep reading at an offset which the restored log lacks.
 def test_a_change_is_in_force_in_time_though_the_log_is_shorter_than_before() -> None:
     made = _world()
     _publish_and_lose(made, 2, 3, 4, 5)
@@ -89,7 +87,7 @@
     assert _versions(made) == {6}
 
 
-# Guards against readers that wait at the end of a restored log for what they passed.
+# Guards against readers that wait at the end of a restored log and miss records before.
 @pytest.mark.parametrize("then", [(6,), (6, 7), (6, 7, 8), (6, 7, 8, 9)])
 def test_what_was_published_before_nodes_read_again_is_in_force_in_time(
     then: tuple[int, ...],
@@ -120,7 +118,7 @@
 
 
 @pytest.mark.parametrize("then", [(), (3,), (3, 4)])
-def test_a_read_that_is_held_open_across_the_return_does_not_hide_it(
+def test_a_long_poll_across_a_restoration_does_not_hide_it(
     then: tuple[int, ...],
 ) -> None:
     made = _world()
@@ -151,7 +149,7 @@
     assert _versions(made) == {1}
 
 
-def test_a_log_that_lacks_offsets_is_not_asked_without_pause() -> None:
+def test_a_log_that_lacks_offsets_is_not_read_in_a_busy_loop() -> None:
     made = _world()
     _publish_and_lose(made, 2, 3, 4, 5)
     reads = 0
@@ -194,7 +192,7 @@
 
 
 class _Reader:
-    """A node that follows the route tables of a log, and what it is answered."""
+    """A node that follows the route tables of a log, and the answers to its reads."""
 
     def __init__(self) -> None:
         begin = routed.started()
@@ -209,13 +207,13 @@
     def stream(self) -> states.Stream:
         return self.state.streams[streams.ROUTES]
 
-    def took(self, event: events.Event) -> list[effects.Effect]:
+    def handle(self, event: events.Event) -> list[effects.Effect]:
         self.out = reducer.reduce(self.state, event)
         return self.out
 
     def newest(self, version: int, *, end: int, epoch: int) -> list[effects.Effect]:
         table = routes.RouteTable(version=version, routes=(routed.route(),))
-        return self.took(
+        return self.handle(
             events.NewestRead(
                 now=self.state.now,
                 stream=streams.ROUTES,
@@ -236,7 +234,7 @@
         ]
         first = self.stream.offset
         own = self.stream.generation
-        return self.took(
+        return self.handle(
             events.LogRead(
                 now=self.state.now,
                 stream=streams.ROUTES,
@@ -251,7 +249,7 @@
         )
 
     def missing(self, *, epoch: int = 0, first: int = 0) -> list[effects.Effect]:
-        return self.took(
+        return self.handle(
             events.LogRead(
                 now=self.state.now,
                 stream=streams.ROUTES,
@@ -268,16 +266,16 @@
 
     def tick(self, after_ms: float = 0.0) -> list[effects.Effect]:
         self.state.now += after_ms
-        return self.took(events.Tick(now=self.state.now))
+        return self.handle(events.Tick(now=self.state.now))
 
-    def heard(self, epoch: int) -> list[effects.Effect]:
+    def receive_epoch(self, epoch: int) -> list[effects.Effect]:
         message = messages.Gossip(
             kind=messages.GossipKind.PING,
             sequence=1,
             revision=ids.Revision(0),
             log_epoch=ids.LogEpoch(epoch),
         )
-        return self.took(builders.datagram("n2", message, now=self.state.now))
+        return self.handle(builders.datagram("n2", message, now=self.state.now))
 
 
 def _reads_newest(out: list[effects.Effect]) -> bool:
@@ -305,19 +303,19 @@
     assert builders.only(node.out, effects.ReadLog).offset == 1
 
 
-def test_a_member_tells_the_epoch_and_the_read_that_is_held_open_is_left() -> None:
+def test_an_epoch_reported_by_a_member_ends_a_long_poll() -> None:
     node = _Reader()
-    node.heard(6)
+    node.receive_epoch(6)
     assert _reads_newest(node.tick())
 
 
-def test_members_are_told_the_highest_epoch() -> None:
+def test_the_highest_epoch_is_gossiped() -> None:
     node = _Reader()
     builders.add_members(node.state, builders.member("n2", "plans"))
     node.read(epoch=6)
     out = node.tick(600.0)
-    told = {e.message.log_epoch for e in builders.all_of(out, effects.SendGossip)}
-    assert told == {6}
+    epochs = {e.message.log_epoch for e in builders.all_of(out, effects.SendGossip)}
+    assert epochs == {6}
 
 
 @pytest.mark.parametrize(
@@ -331,7 +329,7 @@
     ],
     ids=lambda event: type(event).__name__,
 )
-def test_any_answer_may_be_the_first_to_tell_the_epoch(event: events.Event) -> None:
+def test_any_answer_may_be_the_first_to_report_the_epoch(event: events.Event) -> None:
     node = _Reader()
     out = reducer.reduce(node.state, event) + node.tick()
     assert node.state.log.epoch == 6
@@ -341,7 +339,7 @@
 def test_a_late_answer_to_a_read_of_before_changes_nothing() -> None:
     node = _Reader()
     before = node.stream.generation
-    node.heard(6)
+    node.receive_epoch(6)
     node.tick()
     node.newest(2, end=1, epoch=6)
     node.read(9, epoch=5, generation=before)
@@ -349,9 +347,9 @@
     assert node.state.version == 2
 
 
-def test_an_answer_of_an_earlier_epoch_is_asked_for_again() -> None:
+def test_a_read_answered_in_an_earlier_epoch_is_repeated() -> None:
     node = _Reader()
-    node.heard(6)
+    node.receive_epoch(6)
     node.tick()
     out = node.newest(2, end=7, epoch=5)
     assert node.state.version == 1
@@ -360,7 +358,7 @@
     assert _reads_newest(node.tick(500.0))
 
 
-def test_a_log_whose_count_went_back_is_followed_again_and_told_once() -> None:
+def test_a_log_whose_epoch_went_back_is_followed_again_and_logged_once() -> None:
     node = _Reader()
     for _ in range(log_epochs.MAX_LOWER_EPOCH_ANSWERS):
         node.read(epoch=3)
@@ -369,41 +367,41 @@
     assert [text for text in lines if "count went back" in text]
     node.newest(2, end=1, epoch=3)
     assert node.state.version == 2
-    # Members that still tell the higher one do not start it all over again.
-    node.heard(5)
+    # Members that still report the higher epoch do not cause another restart.
+    node.receive_epoch(5)
     assert node.state.log.epoch == 3
     assert _reads_newest(node.read(epoch=4))
 
 
-def test_a_log_that_tells_no_epoch_is_known_to_be_shorter_by_its_offsets() -> None:
+def test_a_restored_log_without_epochs_is_detected_by_its_offsets() -> None:
     node = _Reader()
     node.missing()
     assert _reads_newest(node.out)
 
 
-def test_records_that_expired_are_no_return_of_the_log() -> None:
+def test_expired_records_are_not_taken_for_a_restoration() -> None:
     node = _Reader()
     node.missing(epoch=5, first=9)
     assert node.state.log.restores == 0
     assert _reads_newest(node.out)
 
 
-def test_a_log_that_contradicts_itself_is_asked_ever_less_often() -> None:
+def test_reads_of_a_contradictory_log_back_off() -> None:
     node = _Reader()
-    asked = 0
+    reads = 0
     for _ in range(100):
         if _reads_newest(node.out):
-            asked += 1
+            reads += 1
             node.newest(1, end=4, epoch=5)
         if builders.all_of(node.out, effects.ReadLog):
             node.missing(epoch=5)
         else:
             node.tick(100.0)
-    # Ten seconds, with pauses that grow to a second at most.
-    assert asked <= 30
+    # Ten seconds, with a backoff of at most a second.
+    assert reads <= 30
 
 
-def test_a_header_that_comes_for_the_first_time_may_hide_a_return() -> None:
+def test_the_first_epoch_header_may_hide_a_restoration() -> None:
     node = _Reader()
     node.state.log = states.LogHistory(read_without_epoch=True)
     assert _reads_newest(node.read(epoch=7))
@@ -426,7 +424,7 @@
         ([(b"Store-Era", "²".encode())], 0),
     ],
 )
-def test_a_header_that_is_no_epoch_tells_none(
+def test_an_invalid_epoch_header_is_ignored(
     headers: list[tuple[bytes, bytes]], epoch: int
 ) -> None:
     peer = http_calls.Peer("http://log", timeout_ms=1.0, epoch_header=b"store-era")
@@ -450,23 +448,23 @@
     return node
 
 
-# Guards against members that a node which starts afterwards finds on no log.
+# Guards against members that a node started afterwards cannot find on the log.
 def test_the_own_record_is_written_again_when_the_log_was_restored() -> None:
     node = _joined()
-    node.heard(6)
+    node.receive_epoch(6)
     (put,) = _join_puts(builders.passed(node.state, 2_500.0))
-    node.took(events.PutDone(now=node.state.now, put=put.put, epoch=ids.LogEpoch(6)))
+    node.handle(events.PutDone(now=node.state.now, put=put.put, epoch=ids.LogEpoch(6)))
     assert not _join_puts(builders.passed(node.state, 3_000.0))
-    node.heard(7)
+    node.receive_epoch(7)
     assert _join_puts(builders.passed(node.state, 2_500.0))
 
 
-def test_an_acknowledgement_of_an_earlier_epoch_is_none() -> None:
+def test_an_acknowledgement_of_an_earlier_epoch_does_not_count() -> None:
     node = _joined()
-    node.heard(6)
+    node.receive_epoch(6)
     (put,) = _join_puts(builders.passed(node.state, 2_500.0))
-    node.heard(7)
-    node.took(events.PutDone(now=node.state.now, put=put.put, epoch=ids.LogEpoch(6)))
+    node.receive_epoch(7)
+    node.handle(events.PutDone(now=node.state.now, put=put.put, epoch=ids.LogEpoch(6)))
     assert _join_puts(builders.passed(node.state, 2_500.0))
 
 
@@ -475,18 +473,18 @@
     for seed in range(30):
         node = _joined(members=1_000)
         node.state.random.seed(seed)
-        node.heard(6)
+        node.receive_epoch(6)
         due.append(node.state.membership.join_retry_at - node.state.now)
     assert 5_000.0 < max(due) <= 1_001 * 1_000.0 / joining.REWRITES_PER_SECOND
     assert len({round(after) for after in due}) > 20
 
 
-def test_a_node_that_has_left_does_not_write_itself_down_again() -> None:
+def test_a_departed_node_does_not_rewrite_its_join_record() -> None:
     node = _joined()
-    node.took(events.StopRequested(now=node.state.now))
+    node.handle(events.StopRequested(now=node.state.now))
     builders.passed(node.state, 2_000.0)
     assert node.state.departed
-    node.heard(6)
+    node.receive_epoch(6)
     assert not _join_puts(builders.passed(node.state, 1_000.0))
 
 
@@ -495,13 +493,13 @@
     members = events.NewestRead(
         now=node.state.now, stream=streams.MEMBERS, records=(), end=1
     )
-    node.took(members)
+    node.handle(members)
     builders.add_members(node.state, builders.member("m0", "plans"))
     node.state.started_at -= joining.RECENT_START_MS
-    node.heard(6)
+    node.receive_epoch(6)
     out = builders.passed(node.state, 2_500.0)
     (put,) = _join_puts(out)
-    out += node.took(
+    out += node.handle(
         events.PutDone(now=node.state.now, put=put.put, epoch=ids.LogEpoch(6))
     )
     read = [e.stream for e in builders.all_of(out, effects.ReadNewest)]
--- a/tests/cover/test_revisions.py
+++ b/tests/cover/test_revisions.py
@@ -1,4 +1,4 @@
-"""The configuration in force: one winner, never backwards, the same everywhere."""
+"""Revisions of the configuration: conflicts, and convergence of all nodes."""
 
 import itertools
 
@@ -34,7 +34,7 @@
     )
 
 
-def _fresh(name: str = "n1") -> states.State:
+def _new_state(name: str = "n1") -> states.State:
     return builders.node_state(name)
 
 
@@ -67,15 +67,15 @@
 def test_of_two_on_the_same_base_the_first_in_the_log_wins_everywhere() -> None:
     first = _record("a", "shop", 0, "one")
     second = _record("b", "shop", 0, "two")
-    for state in (_fresh("n1"), _fresh("n2")):
+    for state in (_new_state("n1"), _new_state("n2")):
         _read(state, first, second)
         assert state.revisions.revision == 1
         assert state.revisions.documents == {"shop": _text("one")}
         assert [h.outcome for h in state.revisions.history] == ["accepted", "refused"]
 
 
-def test_the_author_of_the_second_is_told() -> None:
-    state = _fresh()
+def test_the_author_of_a_conflicting_publication_is_notified() -> None:
+    state = _new_state()
     append = builders.only(
         [e for e in _request(state, "shop", 0, _text("two")) if _on_config(e)],
         effects.Append,
@@ -93,7 +93,7 @@
 
 
 def test_a_lost_acknowledgement_is_found_out_by_reading_back() -> None:
-    state = _fresh()
+    state = _new_state()
     append = builders.only(_request(state, "shop", 0, _text("one")), effects.Append)
     lost = events.AppendFailed(now=state.now, append=append.append, certain=False)
     assert reducer.reduce(state, lost) == []
@@ -102,15 +102,15 @@
 
 
 def test_a_record_that_stands_twice_counts_once() -> None:
-    state = _fresh()
+    state = _new_state()
     record = _record("a", "shop", 0, "one")
     _read(state, record, record)
     assert state.revisions.revision == 1
     assert len(state.revisions.history) == 1
 
 
-def test_an_append_that_certainly_failed_is_told_at_once() -> None:
-    state = _fresh()
+def test_an_append_that_certainly_failed_is_reported_at_once() -> None:
+    state = _new_state()
     append = builders.only(_request(state, "shop", 0, _text("one")), effects.Append)
     failed = events.AppendFailed(now=state.now, append=append.append, certain=True)
     ended = builders.only(reducer.reduce(state, failed), effects.PublishEnded)
@@ -118,8 +118,8 @@
     assert state.revisions.pending == {}
 
 
-def test_an_unconfirmed_publication_is_told_as_not_known() -> None:
-    state = _fresh()
+def test_an_unconfirmed_publication_is_reported_as_unknown() -> None:
+    state = _new_state()
     _request(state, "shop", 0, _text("one"))
     later = state.now + revisions.PUBLISH_TIMEOUT_MS + 2_000
     out = reducer.reduce(state, events.Tick(now=later))
@@ -127,7 +127,7 @@
 
 
 def test_a_stale_base_and_a_bad_document_are_refused_before_the_log() -> None:
-    state = _fresh()
+    state = _new_state()
     _read(state, _record("a", "shop", 0, "one"))
     for base, text in ((0, _text("two")), (1, "not toml [")):
         out = _request(state, "shop", base, text)
@@ -136,10 +136,10 @@
 
 
 def test_a_snapshot_of_an_older_revision_changes_nothing() -> None:
-    old = _fresh("old")
+    old = _new_state("old")
     _read(old, _record("a", "shop", 0, "one"))
     snapshot = revisions.snapshot(old, since=0)
-    state = _fresh()
+    state = _new_state()
     _read(state, _record("a", "shop", 0, "one"), _record("b", "shop", 1, "two"))
     reducer.reduce(state, events.SnapshotReceived(now=state.now, snapshot=snapshot))
     assert state.revisions.revision == 2
@@ -150,13 +150,13 @@
     snapshot = messages.ConfigSnapshot(
         revision=9, documents={"shop": _text("x")}, revisions={"shop": 9}, digest="no"
     )
-    state = _fresh()
+    state = _new_state()
     reducer.reduce(state, events.SnapshotReceived(now=state.now, snapshot=snapshot))
     assert state.revisions.revision == 0
 
 
 def test_a_reader_of_a_trimmed_log_decides_nothing_before_a_snapshot() -> None:
-    whole = _fresh("whole")
+    whole = _new_state("whole")
     records = [
         _record("a", "shop", 0, "one"),
         _record("b", "bulk", 0, "two"),
@@ -164,11 +164,11 @@
         _record("d", "shop", 1, "three"),
     ]
     _read(whole, *records)
-    late = _fresh("late")
-    # Retention has dropped the first record: "c" would look acceptable.
+    late = _new_state("late")
+    # Retention has dropped the first record, without which "c" looks acceptable.
     _read(late, *records[1:], first=1, oldest=1)
     assert late.revisions.revision == 0
-    early = _fresh("early")
+    early = _new_state("early")
     _read(early, *records[:2])
     snapshot = revisions.snapshot(early, since=0)
     _read(late, snapshot, first=4, oldest=1)
@@ -177,7 +177,7 @@
 
 
 def test_the_accepted_set_is_appended_anew_before_retention_drops_it() -> None:
-    state = _fresh()
+    state = _new_state()
     _read(state, _record("a", "shop", 0, "one"))
     later = state.now + revisions.SNAPSHOT_INTERVAL_MS + 2_000
     out = reducer.reduce(state, events.Tick(now=later))
@@ -206,12 +206,12 @@
 def test_all_readers_agree_however_they_hear_and_never_go_back(
     records: list, sizes: list[int], data: st.DataObject
 ) -> None:
-    whole = _fresh("whole")
+    whole = _new_state("whole")
     history = [revisions.snapshot(whole, since=0)]
     for index, record in enumerate(records):
         _read(whole, record, first=index)
         history.append(revisions.snapshot(whole, since=0))
-    other = _fresh("other")
+    other = _new_state("other")
     position = 0
     seen = [0]
     for size in itertools.chain(sizes, itertools.repeat(1)):
@@ -232,16 +232,16 @@
 
 
 def test_history_names_a_publication_that_a_peer_told_of_first() -> None:
-    """Seen once, on a busy machine: another node read the record earlier and told its
-    peers, and the node at which it was published did not list it."""
-    teller = _fresh("n2")
+    """Guards against a history that lacks a publication whose snapshot a peer sent
+    before the record was read."""
+    peer = _new_state("n2")
     record = _record("a", "shop", 0, "one")
-    _read(teller, record)
-    state = _fresh("n1")
-    told = events.SnapshotReceived(
-        now=state.now, snapshot=revisions.snapshot(teller, since=0)
+    _read(peer, record)
+    state = _new_state("n1")
+    received = events.SnapshotReceived(
+        now=state.now, snapshot=revisions.snapshot(peer, since=0)
     )
-    reducer.reduce(state, told)
+    reducer.reduce(state, received)
     assert state.revisions.revision == 1
     _read(state, record)
     assert [(h.subject, h.outcome) for h in state.revisions.history] == [
--- a/tests/cover/test_silent_nodes.py
+++ b/tests/cover/test_silent_nodes.py
@@ -1,4 +1,4 @@
-"""Nodes and backend servers that say nothing: slots, repeats, and the last answers."""
+"""Nodes and backend servers that do not answer: slots, repeats and final answers."""
 
 import msgspec
 
@@ -28,7 +28,7 @@
 
 
 def test_a_lost_answer_to_an_unrepeatable_call_holds_its_slot_not_for_long() -> None:
-    # With one minute, a service whose answers got lost ran out of slots.
+    # Guards against services that run out of slots when answers are lost.
     state = routed.node_state(service="porting", slots=1)
     terms = builders.call_terms(service="porting", repeatable=False, deadline_ms=800.0)
     reducer.reduce(state, builders.opened(1, terms))
@@ -50,7 +50,7 @@
 
 
 def _suspect(state: states.State, node: ids.NodeId) -> list[effects.Effect]:
-    """Let another node tell that it suspects a member."""
+    """Receive the suspicion of a member from another node."""
     known = state.membership.members[node]
     suspect = msgspec.structs.replace(known, state=messages.MemberState.SUSPECT)
     message = builders.gossip(members=(suspect,))
@@ -58,8 +58,8 @@
 
 
 def test_a_suspected_upstream_that_answers_calls_is_not_passed_over() -> None:
-    # With a tenth of all datagrams lost, one of the last two upstreams of a service was
-    # passed over each few seconds, and the other one was overloaded.
+    # Guards against overload of the other upstreams when a lost datagram raises a
+    # suspicion of one.
     state, first = _entry(routes.RouteType.SAFE)
     answered = events.AttemptAnswered(
         now=state.now,
@@ -79,7 +79,7 @@
 
 def test_calls_leave_a_node_that_froze_right_after_an_answer() -> None:
     state, first = _entry(routes.RouteType.SAFE)
-    # Many others: the next probe of this node would come too late to help.
+    # With many members, the next probe of this node would come too late.
     others = (builders.member(f"other{n}", "porting") for n in range(20))
     builders.add_members(state, *others)
     _suspect_by_silence(state, first.node)
@@ -91,7 +91,7 @@
 
 
 def _suspect_by_silence(state: states.State, node: ids.NodeId) -> None:
-    """Let a probe of a node that answers calls until then miss its answer."""
+    """Let a node become suspect by a lost probe while it answers calls."""
     state.membership.probe_order = [node]
     while node not in state.membership.suspected:
         routing.on_load_report(state, node, "lookup", builders.report())
@@ -119,7 +119,7 @@
 
 
 def test_a_node_whose_grace_ends_answers_what_it_still_holds() -> None:
-    # A request to a silent upstream was cut when the process ended.
+    # Guards against requests that are cut off when the process ends.
     state, _ = _entry(routes.RouteType.UNREPEATABLE)
     reducer.reduce(state, events.StopRequested(now=state.now, grace_ms=2_000.0))
     out = builders.passed(state, 2_000.0 - reducer.LAST_ANSWERS_MS + 20.0)
@@ -130,7 +130,7 @@
 
 
 def test_turned_away_calls_of_a_backend_server_with_free_slots_keep_its_limit() -> None:
-    # A faulty one that turned half of its calls away was left with one slot of twenty.
+    # Guards against a concurrency limit that falls to one slot by such refusals.
     state = routed.node_state(service="plans", slots=20)
     for number in range(1, 40):
         now = state.now + 150.0
