--- a/src/gingerturn/internal/core/revisions.py
+++ b/src/gingerturn/internal/core/revisions.py
@@ -1,12 +1,14 @@
-"""The configuration in force: decided by the log's order, the same everywhere.
-
-A publication names the revision at which its author saw the team's document
-last change. The first in offset order wins, a later one with the same base is a
-conflict; every reader decides this from the same records. The revision is the
-offset of the accepted record plus one, so it only ever grows. Where the log was
-restored from a backup and gives offsets out again, it is the present one plus one.
-Nodes that had read different records before may then give one revision to two sets;
-they tell them apart by their digests, and each takes the later document of each team.
+"""Revisions of the configuration, decided by the order of the log.
+
+A publication names the revision at which its author saw the team's document last
+change. The first one in offset order wins; a later one with the same base is a
+conflict. Every reader decides this from the same records. The revision is the offset of
+the accepted record plus one, so it never decreases.
+
+After the log was restored from a backup, which assigns offsets again, it is at least
+the present revision plus one. Nodes that had read different records may then assign one
+revision to two sets of documents. They detect that by the digests, and each takes the
+later document of each team.
 """
 
 import math
@@ -24,27 +26,26 @@
 )
 
 NO_REVISION = ids.Revision(0)
-HISTORY = 200
-SEEN = 1_000
-PUBLISH_WAIT_MS = 10_000.0
-SNAPSHOT_EVERY_MS = 600_000.0
-"""The accepted set is appended anew every 10 minutes, well inside any retention
-that covers the claims, at 144 appends a day."""
+MAX_HISTORY = 200
+MAX_DECIDED_IDS = 1_000
+PUBLISH_TIMEOUT_MS = 10_000.0
+SNAPSHOT_INTERVAL_MS = 600_000.0
+"""How often the accepted set is appended again, well within the log's retention."""
 
-FETCH_EVERY_MS = 500.0
+FETCH_INTERVAL_MS = 500.0
 
 
 def publish(
     state: states.State, event: events.PublishRequested, out: states.Effects
 ) -> None:
-    """Append a publication; its fate is told when it is read back."""
+    """Append a publication; its outcome is decided when it is read back."""
     base = state.revisions.changed.get(event.team, 0)
     if event.base != base:
-        _end(out, event.request, False, ids.Revision(base), _conflict(event, base))
+        _finish(out, event.request, False, ids.Revision(base), _conflict(event, base))
         return
     problem = _problem(state, event.team, event.text)
     if problem:
-        _end(out, event.request, False, ids.Revision(base), problem)
+        _finish(out, event.request, False, ids.Revision(base), problem)
         return
     record_id = f"{state.random.getrandbits(96):024x}"
     record = messages.PublishRecord(
@@ -75,17 +76,17 @@
 
 
 def on_append_failed(state: states.State, append: int, out: states.Effects) -> None:
-    """Tell an author that the log certainly did not take the publication."""
+    """Report a publication that was certainly not appended."""
     record_id = state.revisions.appends.pop(append, "")
     publication = state.revisions.pending.pop(record_id, None)
     if publication is None:
         return
     problem = "the log service refused the append or is down; nothing was published"
-    _end(out, publication.request, False, ids.Revision(0), problem)
+    _finish(out, publication.request, False, ids.Revision(0), problem)
 
 
 def on_read(state: states.State, *, first: int, oldest: int, gap: bool) -> None:
-    """Take in where reading stands before the records themselves."""
+    """Update whether the history of publications is complete, before new records."""
     revisions = state.revisions
     if gap:
         revisions.complete = False
@@ -99,7 +100,7 @@
     record: messages.PublishRecord,
     out: states.Effects,
 ) -> bool:
-    """Decide a publication.
+    """Decide a publication read from the log.
 
     :return: whether a new revision is in force.
     """
@@ -109,33 +110,33 @@
         return False
     if record.id in revisions.decided_ids:
         return False
-    _remember(revisions, record.id)
+    _mark_decided(revisions, record.id)
     if revisions.revision > offset and not _is_new(state, record):
-        _end_overtaken(state, offset, record, out)
+        _finish_superseded(state, offset, record, out)
         return False
     base = revisions.changed.get(record.team, 0)
-    if _is_overtaken(record, base):
+    if _is_stale(record, base):
         problem = f"conflict: {record.team} changed at revision {base} meanwhile"
     else:
         problem = _problem(state, record.team, record.text)
     if problem:
-        _note(state, record, "refused")
-        _end_pending(state, record.id, False, ids.Revision(base), problem, out)
+        _record_outcome(state, record, "refused")
+        _finish_pending(state, record.id, False, ids.Revision(base), problem, out)
         return False
     documents = dict(revisions.documents)
     documents[record.team] = record.text
     revision = ids.Revision(max(offset, revisions.revision) + 1)
     revisions.changed[record.team] = revision
     _put_in_force(state, documents, revision, out)
-    _note(state, record, "accepted", revision)
-    _end_pending(state, record.id, True, revisions.revision, "", out)
+    _record_outcome(state, record, "accepted", revision)
+    _finish_pending(state, record.id, True, revisions.revision, "", out)
     return True
 
 
 def on_snapshot(
     state: states.State, snapshot: messages.ConfigSnapshot, out: states.Effects
 ) -> bool:
-    """Take in a snapshot of the log or a difference sent by a peer.
+    """Handle a snapshot from the log, or the changed documents sent by a peer.
 
     :return: whether a new revision is in force.
     """
@@ -155,7 +156,7 @@
 
 
 def snapshot(state: states.State, *, since: int) -> messages.ConfigSnapshot:
-    """Return what changed after a revision, with the digest of the whole."""
+    """Return the documents changed after a revision, with the digest of all."""
     revisions = state.revisions
     documents = {
         team: text
@@ -171,7 +172,7 @@
 
 
 def config_digest(state: states.State) -> int:
-    """Return what tells two sets of one revision apart, 0 where there can be no two."""
+    """Return a checksum of the documents; 0 if the revision alone identifies them."""
     if not state.log.was_restored:
         return 0
     return zlib.crc32(state.configuration.digest.encode())
@@ -184,16 +185,17 @@
     digest: int,
     out: states.Effects,
 ) -> None:
-    """Fetch the configuration from a peer that has a later revision, or another set.
+    """Fetch the configuration from a peer with a later revision, or with different
+    documents of the same revision.
 
-    :param digest: the peer's :func:`word`.
+    :param digest: the peer's :func:`config_digest`.
     """
     revisions = state.revisions
     own = config_digest(state)
     differs = revision == revisions.revision and own and digest and own != digest
     if revision <= revisions.revision and not differs:
         return
-    if state.now - revisions.fetched_at < FETCH_EVERY_MS:
+    if state.now - revisions.fetched_at < FETCH_INTERVAL_MS:
         return
     member = state.membership.members.get(node)
     if member is None:
@@ -214,30 +216,30 @@
 def check_timeouts(
     state: states.State, now: ids.Milliseconds, out: states.Effects
 ) -> None:
-    """Tell authors whose publication the log does not confirm in time."""
+    """Report publications that the log did not confirm in time."""
     for publication in list(state.revisions.pending.values()):
-        if now - publication.since > PUBLISH_WAIT_MS:
+        if now - publication.since > PUBLISH_TIMEOUT_MS:
             del state.revisions.pending[publication.id]
             _forget_append(state, publication.id)
             problem = (
                 "the log did not confirm the publication in time; it may still"
                 " take effect: see `gingerturn config history`"
             )
-            _end(out, publication.request, None, ids.Revision(0), problem)
+            _finish(out, publication.request, None, ids.Revision(0), problem)
 
 
 def renew_snapshot(
     state: states.State, now: ids.Milliseconds, out: states.Effects
 ) -> None:
-    """Append the accepted set anew before retention drops it.
+    """Append the accepted set again before retention drops it.
 
-    The member with the lowest id does it. Where views differ two may; the second
-    record changes nothing.
+    The live member with the lowest id does so. If views of the membership differ,
+    several may; further records have no effect.
     """
     revisions = state.revisions
     if not revisions.complete or revisions.revision == 0:
         return
-    if now - revisions.snapshot_at < SNAPSHOT_EVERY_MS:
+    if now - revisions.snapshot_at < SNAPSHOT_INTERVAL_MS:
         return
     alive = [
         member.node
@@ -257,7 +259,7 @@
 
 
 def on_log_restored(state: states.State) -> None:
-    """Append the accepted set anew, as the log may have lost a part of it."""
+    """Let the accepted set be appended again, as the log may have lost it."""
     state.revisions.snapshot_at = -math.inf
 
 
@@ -276,7 +278,9 @@
     documents.update(snapshot.documents)
     if configuration.digest_of(documents) != snapshot.digest:
         operator_log.warn(
-            out, "config", f"Digest of revision {snapshot.revision} differs."
+            out,
+            "config",
+            f"Digest of revision {snapshot.revision} does not match its documents.",
         )
         revisions.fetch_whole = True
         return False
@@ -287,7 +291,7 @@
 
 
 def _is_later(state: states.State, snapshot: messages.ConfigSnapshot) -> bool:
-    """Tell whether a set is later than the present one, or another of its revision."""
+    """Whether a snapshot is later, or has other documents of the same revision."""
     revisions = state.revisions
     if snapshot.revision != revisions.revision:
         return snapshot.revision > revisions.revision
@@ -297,17 +301,19 @@
 def _merge(
     state: states.State, snapshot: messages.ConfigSnapshot, out: states.Effects
 ) -> bool:
-    """Take the later document of each team; where those don't fit together, one set."""
+    """Take the later document of each team; if the result is invalid, the later set."""
     revisions = state.revisions
     revisions.fetch_whole = False
-    own, told = revisions.documents, snapshot.documents
-    if configuration.digest_of(told) != snapshot.digest:
+    own, received = revisions.documents, snapshot.documents
+    if configuration.digest_of(received) != snapshot.digest:
         operator_log.warn(
-            out, "config", f"Digest of revision {snapshot.revision} differs."
+            out,
+            "config",
+            f"Digest of revision {snapshot.revision} does not match its documents.",
         )
         return False
     documents, changed = dict(own), dict(revisions.changed)
-    for team, text in told.items():
+    for team, text in received.items():
         at = snapshot.revisions[team]
         if (at, text) > (changed.get(team, 0), own.get(team, "")):
             documents[team], changed[team] = text, at
@@ -317,7 +323,7 @@
         present = (revisions.revision, state.configuration.digest)
         if present > (snapshot.revision, snapshot.digest):
             return False
-        documents, changed = dict(told), dict(snapshot.revisions)
+        documents, changed = dict(received), dict(snapshot.revisions)
     revision = ids.Revision(max(snapshot.revision, revisions.revision))
     if documents == own and revision == revisions.revision:
         return False
@@ -334,7 +340,9 @@
 ) -> None:
     """Put a set of documents in force as a whole."""
     if revision < state.revisions.revision:
-        raise AssertionError(f"revision {revision} is earlier than the present one")
+        raise AssertionError(
+            f"revision {revision} is lower than {state.revisions.revision}, in force"
+        )
     state.configuration = configuration.Configuration(documents)
     state.membership.version += 1
     state.revisions.documents = documents
@@ -353,14 +361,14 @@
 
 
 def _is_new(state: states.State, record: messages.PublishRecord) -> bool:
-    """Tell whether a record at an offset below the revision was appended after the log
-    was restored, and not decided before. What was decided has another base since."""
+    """Whether a record at an offset below the revision was appended after the log was
+    restored, and not decided before. A decided one has an outdated base."""
     if not state.log.was_restored:
         return False
     return record.base == state.revisions.changed.get(record.team, 0)
 
 
-def _is_overtaken(record: messages.PublishRecord, base: int) -> bool:
+def _is_stale(record: messages.PublishRecord, base: int) -> bool:
     return record.base != base
 
 
@@ -371,23 +379,23 @@
     )
 
 
-def _end_overtaken(
+def _finish_superseded(
     state: states.State,
     offset: int,
     record: messages.PublishRecord,
     out: states.Effects,
 ) -> None:
-    """Tell an author whose record was decided by the sender of a snapshot."""
+    """Report a publication that the sender of a snapshot decided."""
     changed = state.revisions.changed.get(record.team, 0)
     if changed == offset + 1:
-        _note(state, record, "accepted", ids.Revision(changed))
-        _end_pending(state, record.id, True, ids.Revision(changed), "", out)
+        _record_outcome(state, record, "accepted", ids.Revision(changed))
+        _finish_pending(state, record.id, True, ids.Revision(changed), "", out)
         return
     problem = f"conflict or overtaken: {record.team} changed at revision {changed}"
-    _end_pending(state, record.id, None, ids.Revision(changed), problem, out)
+    _finish_pending(state, record.id, None, ids.Revision(changed), problem, out)
 
 
-def _end_pending(
+def _finish_pending(
     state: states.State,
     record_id: str,
     accepted: bool | None,
@@ -399,7 +407,7 @@
     if publication is None:
         return
     _forget_append(state, record_id)
-    _end(out, publication.request, accepted, revision, problem)
+    _finish(out, publication.request, accepted, revision, problem)
     outcome = {True: "accepted", False: "refused", None: "unknown"}[accepted]
     record = messages.AuditRecord(
         at=state.now,
@@ -413,7 +421,7 @@
     streams.audit(state, record, out)
 
 
-def _end(
+def _finish(
     out: states.Effects,
     request: str,
     accepted: bool | None,
@@ -433,7 +441,7 @@
         del appends[append]
 
 
-def _note(
+def _record_outcome(
     state: states.State,
     record: messages.PublishRecord,
     outcome: str,
@@ -451,10 +459,10 @@
             revision=revision,
         )
     )
-    del history[:-HISTORY]
+    del history[:-MAX_HISTORY]
 
 
-def _remember(revisions: states.Revisions, record_id: str) -> None:
+def _mark_decided(revisions: states.Revisions, record_id: str) -> None:
     revisions.decided_ids[record_id] = True
-    if len(revisions.decided_ids) > SEEN:
+    if len(revisions.decided_ids) > MAX_DECIDED_IDS:
         del revisions.decided_ids[next(iter(revisions.decided_ids))]
