--- a/src/gingerturn/internal/core/membership.py
+++ b/src/gingerturn/internal/core/membership.py
@@ -27,7 +27,7 @@
 CHECK_INTERVAL_MS = 100.0
 INDIRECT_PROBE_AFTER_MS = 300.0
 SUSPECT_AFTER_MS = 700.0
-"""Bounds how long calls wait at a frozen node before its upstreams avoid it."""
+"""Bounds how long calls wait at a frozen node before other nodes avoid it."""
 
 GONE_AFTER_MS = 4_000.0
 INDIRECT_PROBES = 2
