--- a/benchmarks/variants.py
+++ b/benchmarks/variants.py
@@ -190,7 +190,7 @@
 
 def no_come_back_time() -> None:
     """Refused callers come back after one second, whatever the outlook."""
-    _set(retry_delay, "for_call", lambda state, call: retry_delay.UNKNOWN_MS)
+    _set(retry_delay, "for_call", lambda state, call: retry_delay.DEFAULT_DELAY_MS)
 
 
 def no_slow_penalty() -> None:
--- a/src/gingerturn/internal/core/admission.py
+++ b/src/gingerturn/internal/core/admission.py
@@ -40,16 +40,16 @@
 SLOW_START_SHARE = 0.2
 """A cold backend server begins with a fifth of its slots and doubles each round."""
 
-FULL_SHARE = 0.75
+FULL_OCCUPANCY = 0.75
 """A backend server that announced its slots and turns calls away while fewer than this
 share of them are taken is faulty, not full: a lower limit would only turn away more."""
 
-LIMIT_CUT = 0.9
-LIMIT_CUT_EVERY_MS = 100.0
+LIMIT_CUT_FACTOR = 0.9
+LIMIT_CUT_INTERVAL_MS = 100.0
 """A tenth for each refusal, once a window: a burst of refusals is one message."""
 
-TIME_WEIGHT = 0.1
-TIME_HALF_LIFE_MS = 2_000.0
+SERVICE_TIME_WEIGHT = 0.1
+SERVICE_TIME_HALF_LIFE_MS = 2_000.0
 """An estimate that nothing confirms halves every 2 s: else a service that was
 slow once would be refused for ever, as nothing would measure it again."""
 
@@ -87,7 +87,7 @@
     return max(MIN_QUEUE, min(bound, int(backend.limit)))
 
 
-def _note_queue(state: states.State, kind: str) -> None:
+def _record_queue_length(state: states.State, kind: str) -> None:
     """Keep the least length of the queue in this window; a queue that never runs
     dry is a standing one."""
     window = state.backend.windows[-1]
@@ -104,9 +104,9 @@
     if measured is None:
         return 0.0
     age = state.now - measured.measured_at
-    if age <= TIME_HALF_LIFE_MS / 4:
+    if age <= SERVICE_TIME_HALF_LIFE_MS / 4:
         return measured.mean_ms
-    return float(measured.mean_ms * 0.5 ** (age / TIME_HALF_LIFE_MS))
+    return float(measured.mean_ms * 0.5 ** (age / SERVICE_TIME_HALF_LIFE_MS))
 
 
 def record_service_time(state: states.State, kind: str, elapsed: float) -> None:
@@ -117,7 +117,7 @@
             mean_ms=elapsed, measured_at=state.now
         )
         return
-    measured.mean_ms += TIME_WEIGHT * (elapsed - measured.mean_ms)
+    measured.mean_ms += SERVICE_TIME_WEIGHT * (elapsed - measured.mean_ms)
     measured.measured_at = state.now
 
 
@@ -160,7 +160,7 @@
     bound = queue_bound(state, hosted.metadata.kind)
     if ranks.is_deep(hosted.rank):
         bound *= _deep_factor(state)
-    _note_queue(state, hosted.metadata.kind)
+    _record_queue_length(state, hosted.metadata.kind)
     if len(backend.queue) <= bound:
         return None
     dropped = backend.queue.pop(0)
@@ -179,7 +179,7 @@
         backend.windows[-1].least_queue = 0
         return None
     found = backend.queue.pop()[2]
-    _note_queue(state, "")
+    _record_queue_length(state, "")
     return found
 
 
@@ -201,19 +201,21 @@
 def has_room(state: states.State) -> bool:
     """Tell whether a backend server that turns a call away does so with slots free."""
     backend = state.backend
-    return backend.running < FULL_SHARE * backend.slots
+    return backend.running < FULL_OCCUPANCY * backend.slots
 
 
 def record_backend_refusal(state: states.State) -> None:
     """Cut the limit: the backend server itself shed a call."""
     backend = state.backend
     backend.slow_start = False
-    if state.now - backend.last_cut_at < LIMIT_CUT_EVERY_MS:
+    if state.now - backend.last_cut_at < LIMIT_CUT_INTERVAL_MS:
         return
     if state.routed and has_room(state):
         return
     backend.last_cut_at = state.now
-    backend.limit = max(1.0, min(backend.limit, float(backend.running)) * LIMIT_CUT)
+    backend.limit = max(
+        1.0, min(backend.limit, float(backend.running)) * LIMIT_CUT_FACTOR
+    )
 
 
 def record_backend_success(state: states.State) -> None:
@@ -228,7 +230,7 @@
     backend.limit = min(backend.limit, float(backend.slots))
 
 
-def overdue(state: states.State) -> list[ids.HostedId]:
+def expire_queued(state: states.State) -> list[ids.HostedId]:
     """Take out of the queue what waited longer than the queue is meant to hold.
 
     A call of low rank can be overtaken for seconds; meanwhile it holds the slots of
--- a/src/gingerturn/internal/core/allowance.py
+++ b/src/gingerturn/internal/core/allowance.py
@@ -36,7 +36,7 @@
 WINDOW_MS = 10_000.0
 """Where no bound over all nodes is set, first attempts are counted over 10 s."""
 
-SLACK_USED = 0.4
+SLACK_SHARE = 0.4
 """Share of the declared slack that the caps of all nodes' budgets add up to. A node
 may spend its cap twice within one window, when the window's start empties a budget
 that its end finds filled again."""
@@ -62,50 +62,55 @@
     :param recent: first attempts of about the last window, a rate.
     :param share: what the last of them earned.
     :param wants: the repeats that calls have wanted of late.
-    :param counted: when ``recent`` was last brought up to date.
+    :param counted_at: when ``recent_attempts`` was last brought up to date.
     """
 
-    held: float = MAX_BUDGET
-    recent: float = 0.0
-    counted: float = 0.0
-    share: float = 0.0
-    wants: rationing.RetryDemand = msgspec.field(default_factory=rationing.RetryDemand)
+    balance: float = MAX_BUDGET
+    recent_attempts: float = 0.0
+    counted_at: float = 0.0
+    earned_per_attempt: float = 0.0
+    demand: rationing.RetryDemand = msgspec.field(default_factory=rationing.RetryDemand)
 
 
 def record_first_attempt(budget: Budget, now: float, window_ms: float) -> None:
     """Count a first attempt; earlier ones fade over the window."""
-    elapsed = max(0.0, now - budget.counted)
-    budget.counted = now
-    budget.recent = budget.recent * math.exp(-elapsed / window_ms) + 1.0
+    elapsed = max(0.0, now - budget.counted_at)
+    budget.counted_at = now
+    budget.recent_attempts = (
+        budget.recent_attempts * math.exp(-elapsed / window_ms) + 1.0
+    )
 
 
-def supply(budget: Budget, duration: float, window_ms: float) -> float:
+def expected_supply(budget: Budget, duration: float, window_ms: float) -> float:
     """Return the repeats that are held and will be earned in so many ms."""
-    return budget.held + budget.share * budget.recent * duration / window_ms
+    return (
+        budget.balance
+        + budget.earned_per_attempt * budget.recent_attempts * duration / window_ms
+    )
 
 
-def shared_cap(budget: Budget, bound: Bound, *, nodes: int) -> float:
+def balance_limit(budget: Budget, bound: Bound, *, nodes: int) -> float:
     """Return the most that one of so many nodes may hold of a bound on them all."""
-    part = bound.slack * SLACK_USED / max(1, nodes)
-    return part + BURST_SHARE * bound.ratio * budget.recent
+    part = bound.slack * SLACK_SHARE / max(1, nodes)
+    return part + BURST_SHARE * bound.ratio * budget.recent_attempts
 
 
 def charge_forced_repeat(budget: Budget) -> None:
     """Take out a repeat that is made in any case: a call of a repeated request."""
-    budget.held -= 1.0
+    budget.balance -= 1.0
 
 
-def earn(budget: Budget, share: float, *, most: float = MAX_BUDGET) -> None:
+def earn(budget: Budget, share: float, *, limit: float = MAX_BUDGET) -> None:
     """Add what one first attempt earns."""
-    budget.share = share
-    budget.held = min(most, budget.held + share)
+    budget.earned_per_attempt = share
+    budget.balance = min(limit, budget.balance + share)
 
 
 def spend(budget: Budget) -> bool:
     """Take one retry out of the budget; return whether there was one."""
-    if budget.held < 1.0:
+    if budget.balance < 1.0:
         return False
-    budget.held -= 1.0
+    budget.balance -= 1.0
     return True
 
 
--- a/src/gingerturn/internal/core/hosting.py
+++ b/src/gingerturn/internal/core/hosting.py
@@ -297,7 +297,7 @@
 
 def drop_overdue(state: states.State, out: states.Effects) -> None:
     """Refuse queued calls that waited for too long."""
-    for hosted_id in admission.overdue(state):
+    for hosted_id in admission.expire_queued(state):
         replies.refuse(
             state, state.hosted[hosted_id], decisions.Rule.QUEUE_EXPIRED, out
         )
--- a/src/gingerturn/internal/core/level_control.py
+++ b/src/gingerturn/internal/core/level_control.py
@@ -11,9 +11,9 @@
 WINDOW_MS = 100.0
 """Length of a control window; some tens of calls at the sizes of today."""
 
-WINDOWS = 32
+MAX_WINDOWS = 32
 MIN_WINDOWS = 8
-ENOUGH_HANDED = 40
+MIN_DISPATCHED = 40
 """The level looks back on as many windows as handed over 40 calls, at least 8 and
 at most 32. Calls that run for seconds free few slots in a window; a level from 13
 calls jumped by a quarter of a band for no reason but chance."""
@@ -30,15 +30,15 @@
 ONSET_GAIN = 0.75
 LOWER_GAIN = 0.04
 IDLE_GAIN = 0.8
-MUCH_IDLE = 0.3
+LARGE_IDLE_SHARE = 0.3
 """The part of a correction made in one window. A root admitted now reaches the
 deepest service about a second, ten windows, later; larger gains correct the same
 error several times over and the level swings, which wastes work below."""
 
-IDLE_HELD = 0.02
+IDLE_DEADBAND = 0.02
 """Idle shares up to 2 % are noise of a few slots and move no level."""
 
-MIN_NEAR = 3
+MIN_DENSITY_SAMPLES = 3
 """Fewer arrivals above the level tell no density; the step is then a fixed one."""
 
 
@@ -62,17 +62,17 @@
             target_queue=closed.target_queue,
         )
     )
-    del backend.windows[:-WINDOWS]
+    del backend.windows[:-MAX_WINDOWS]
 
 
-def _recent(backend: states.Backend) -> list[states.Window]:
+def _recent_windows(backend: states.Backend) -> list[states.Window]:
     """Return the latest windows that tell enough."""
     handed = 0
     count = 0
     for window in reversed(backend.windows):
         handed += window.dispatched
         count += 1
-        if count >= MIN_WINDOWS and handed >= ENOUGH_HANDED:
+        if count >= MIN_WINDOWS and handed >= MIN_DISPATCHED:
             break
     return backend.windows[-count:]
 
@@ -86,7 +86,7 @@
     """
     above: list[int] = []
     handed = 0
-    recent = _recent(backend)
+    recent = _recent_windows(backend)
     for window in recent:
         above.extend(rank for rank in window.ranks if rank >= backend.level)
         handed += window.dispatched
@@ -105,19 +105,19 @@
         return backend.level
     used = closed.busy_ms / (WINDOW_MS * max(1.0, backend.limit))
     idle = max(0.0, 1.0 - used)
-    if idle <= IDLE_HELD:
+    if idle <= IDLE_DEADBAND:
         return backend.level
-    return ids.Rank(max(0, int(backend.level - _lowering(backend, idle))))
+    return ids.Rank(max(0, int(backend.level - _lowering_step(backend, idle))))
 
 
-def _lowering(backend: states.Backend, idle: float) -> float:
+def _lowering_step(backend: states.Backend, idle: float) -> float:
     """Return by how much to lower the level so as to fill the idle slots.
 
     Calls below the level do not arrive, so how many there are is taken from the
     density of those just above it.
     """
     band_end = (backend.level // ranks.BAND + 1) * ranks.BAND
-    recent = _recent(backend)
+    recent = _recent_windows(backend)
     handed = sum(window.dispatched for window in recent)
     near = sum(
         1
@@ -125,9 +125,9 @@
         for rank in window.ranks
         if backend.level <= rank < band_end
     )
-    if near < MIN_NEAR:
+    if near < MIN_DENSITY_SAMPLES:
         return ranks.BAND * max(1.0 / 16, idle)
     density = near / (band_end - backend.level)
     missing = handed * idle / max(0.2, 1.0 - idle)
-    gain = LOWER_GAIN + IDLE_GAIN * max(0.0, idle - MUCH_IDLE)
+    gain = LOWER_GAIN + IDLE_GAIN * max(0.0, idle - LARGE_IDLE_SHARE)
     return min(float(ranks.BAND), max(1.0, gain * missing / density))
--- a/src/gingerturn/internal/core/levels.py
+++ b/src/gingerturn/internal/core/levels.py
@@ -33,29 +33,29 @@
 from each of its upstreams only some times a second; with 300 ms the level faded
 between two answers and let in roots that were shed below."""
 
-FADE_STEP_MS = 100.0
-FADE_FIRST_STEP = ranks.BAND // 64
+DECAY_STEP_MS = 100.0
+DECAY_FIRST_STEP = ranks.BAND // 64
 """Without news a level falls by 1/64 of a band, then twice that, each 100 ms: the
 first steps let few calls through to ask, and after about a second any level is
 gone, so that a silent upstream is never avoided for long."""
 
-FADE_MAX_STEPS = 16
+DECAY_MAX_STEPS = 16
 
 AGE_BOUNDS_MS = (50.0, 100.0, 200.0, 500.0, 1_000.0)
 """Bounds of the histogram of ages. Words of over half a second make the level swing,
 past a second they fade."""
 
-_OWN = ""
+_OWN_LEVEL = ""
 """In place of a kind: what upstreams shed themselves, whichever kind they answered."""
 
 
-def decayed(heard: states.ReportedLevel, now: ids.Milliseconds) -> ids.Rank:
+def decayed(reported: states.ReportedLevel, now: ids.Milliseconds) -> ids.Rank:
     """Return what a level heard some time ago counts for now."""
-    silence = now - heard.reported_at - FRESH_MS
-    if silence <= 0 or heard.level <= 0:
-        return heard.level
-    steps = min(FADE_MAX_STEPS, int(silence / FADE_STEP_MS) + 1)
-    return ids.Rank(max(0, heard.level - FADE_FIRST_STEP * ((1 << steps) - 1)))
+    silence = now - reported.reported_at - FRESH_MS
+    if silence <= 0 or reported.level <= 0:
+        return reported.level
+    steps = min(DECAY_MAX_STEPS, int(silence / DECAY_STEP_MS) + 1)
+    return ids.Rank(max(0, reported.level - DECAY_FIRST_STEP * ((1 << steps) - 1)))
 
 
 def record_report(
@@ -66,16 +66,16 @@
     report: messages.LoadReport,
 ) -> None:
     """Take in what an upstream of a service told with its answer to a kind."""
-    _note(service_level_of(state, service, _OWN), node, report.level, state.now)
+    _record(service_level_of(state, service, _OWN_LEVEL), node, report.level, state.now)
     if kind:
-        _note(
+        _record(
             service_level_of(state, service, kind), node, report.tree_level, state.now
         )
     if report.bottleneck and report.bottleneck != service:
-        _relay(state, report)
+        _record_relayed(state, report)
 
 
-def _relay(state: states.State, report: messages.LoadReport) -> None:
+def _record_relayed(state: states.State, report: messages.LoadReport) -> None:
     """Keep the word that a node passed on, if it is the latest."""
     told = state.now - max(0.0, report.bottleneck_age_ms)
     known = state.relayed_levels.get(report.bottleneck)
@@ -86,7 +86,7 @@
 
 def own_level(state: states.State, service: ids.ServiceName) -> states.ReportedLevel:
     """Return the rank below which the upstreams of a service shed, as a whole."""
-    return _median(state, service, _OWN)
+    return _service_median(state, service, _OWN_LEVEL)
 
 
 def child_level(
@@ -102,7 +102,7 @@
         word = latest_report(state, cost.service)
         if state.now - word.reported_at <= FRESH_MS:
             return word
-    return _median(state, service, kind)
+    return _service_median(state, service, kind)
 
 
 def record_age(state: states.State, known: states.ReportedLevel) -> None:
@@ -140,12 +140,12 @@
     return here if here.level > deeper.level else deeper
 
 
-def lowest(state: states.State, service: ids.ServiceName) -> ids.Rank:
+def lowest_reported(state: states.State, service: ids.ServiceName) -> ids.Rank:
     """Return the least level that an upstream of a service told of late."""
-    known = state.levels.get((service, _OWN))
+    known = state.levels.get((service, _OWN_LEVEL))
     if known is None:
         return ranks.LOWEST
-    _drop_old(known, state.now)
+    _drop_expired(known, state.now)
     return ids.Rank(known.sorted_levels[0]) if known.sorted_levels else known.level
 
 
@@ -161,7 +161,7 @@
     return known
 
 
-def _note(
+def _record(
     known: states.ServiceLevel,
     node: ids.NodeId,
     level: ids.Rank,
@@ -172,24 +172,24 @@
         _drop(known, node)
     told[node] = states.ReportedLevel(level=level, reported_at=now)
     bisect.insort(known.sorted_levels, level)
-    _drop_old(known, now)
-    known.level = _middle(known.sorted_levels)
+    _drop_expired(known, now)
+    known.level = _lower_median(known.sorted_levels)
     known.reported_at = now
 
 
-def _middle(ranked: list[int]) -> ids.Rank:
-    return ids.Rank(ranked[(len(ranked) - 1) // 2])
+def _lower_median(sorted_levels: list[int]) -> ids.Rank:
+    return ids.Rank(sorted_levels[(len(sorted_levels) - 1) // 2])
 
 
-def _median(
+def _service_median(
     state: states.State, service: ids.ServiceName, kind: str
 ) -> states.ReportedLevel:
     known = state.levels.get((service, kind))
     if known is None:
         return states.NO_REPORTED_LEVEL
-    _drop_old(known, state.now)
+    _drop_expired(known, state.now)
     if known.sorted_levels:
-        known.level = _middle(known.sorted_levels)
+        known.level = _lower_median(known.sorted_levels)
         return states.ReportedLevel(level=known.level, reported_at=known.reported_at)
     last = states.ReportedLevel(level=known.level, reported_at=known.reported_at)
     return states.ReportedLevel(
@@ -197,7 +197,7 @@
     )
 
 
-def _drop_old(known: states.ServiceLevel, now: ids.Milliseconds) -> None:
+def _drop_expired(known: states.ServiceLevel, now: ids.Milliseconds) -> None:
     """Drop what upstreams told too long ago; the last median stays, to fade."""
     told = known.by_upstream
     while told:
--- a/src/gingerturn/internal/core/rationing.py
+++ b/src/gingerturn/internal/core/rationing.py
@@ -22,13 +22,13 @@
 0.974, 0.809, 0.844 with 500 ms; 0.962, 0.782, 0.834 with 2,000 ms; 0.944, 0.784, 0.812
 with no rationing. At 50 % nothing moves it (0.641, 0.642, 0.636)."""
 
-LOOK_BACK_MS = 1_000.0
+DEMAND_WINDOW_MS = 1_000.0
 """What was wanted in this span tells what will be wanted."""
 
-MOST_KEPT = 512
+MAX_SAMPLES = 512
 """Wants looked back on, a bound on memory and on the work of sorting them."""
 
-RENEW_MS = 50.0
+RECOMPUTE_INTERVAL_MS = 50.0
 """The cut is worked out anew after this time: sorting for each want would cost more
 than the call."""
 
@@ -40,39 +40,39 @@
     :param cut: calls that rank below it get no repeat.
     """
 
-    seen: list[tuple[ids.Milliseconds, ids.Rank]] = []
-    cut: ids.Rank = ranks.LOWEST
-    renewed: ids.Milliseconds = -math.inf
+    samples: list[tuple[ids.Milliseconds, ids.Rank]] = []
+    min_rank: ids.Rank = ranks.LOWEST
+    computed_at: ids.Milliseconds = -math.inf
 
 
-def record_demand(wants: RetryDemand, rank: ids.Rank, now: ids.Milliseconds) -> None:
+def record_demand(demand: RetryDemand, rank: ids.Rank, now: ids.Milliseconds) -> None:
     """Count a call that wants a repeat."""
-    wants.seen.append((now, rank))
-    if len(wants.seen) > 2 * MOST_KEPT:
-        del wants.seen[:-MOST_KEPT]
+    demand.samples.append((now, rank))
+    if len(demand.samples) > 2 * MAX_SAMPLES:
+        del demand.samples[:-MAX_SAMPLES]
 
 
-def minimum_rank(wants: RetryDemand, supply: float, now: ids.Milliseconds) -> ids.Rank:
+def minimum_rank(demand: RetryDemand, supply: float, now: ids.Milliseconds) -> ids.Rank:
     """Return the rank from which calls may be repeated.
 
     :param supply: repeats that the budget allows within :data:`HORIZON_MS`.
     """
-    if now - wants.renewed < RENEW_MS:
-        return wants.cut
-    wants.renewed = now
-    recent = [(at, rank) for at, rank in wants.seen if now - at <= LOOK_BACK_MS]
-    wants.seen = recent
-    wants.cut = _cut(recent[-MOST_KEPT:], supply, now)
-    return wants.cut
+    if now - demand.computed_at < RECOMPUTE_INTERVAL_MS:
+        return demand.min_rank
+    demand.computed_at = now
+    recent = [(at, rank) for at, rank in demand.samples if now - at <= DEMAND_WINDOW_MS]
+    demand.samples = recent
+    demand.min_rank = _computed_minimum(recent[-MAX_SAMPLES:], supply, now)
+    return demand.min_rank
 
 
-def _cut(
+def _computed_minimum(
     recent: list[tuple[ids.Milliseconds, ids.Rank]],
     supply: float,
     now: ids.Milliseconds,
 ) -> ids.Rank:
-    span = LOOK_BACK_MS
-    if len(recent) == MOST_KEPT:
+    span = DEMAND_WINDOW_MS
+    if len(recent) == MAX_SAMPLES:
         span = max(1.0, now - recent[0][0])
     demand = len(recent) * HORIZON_MS / span
     if demand <= supply:
--- a/src/gingerturn/internal/core/refusals.py
+++ b/src/gingerturn/internal/core/refusals.py
@@ -28,10 +28,10 @@
     decisions.Rule.KEY_UNKNOWN: 401,
     decisions.Rule.OVER_CAP: 429,
 }
-_COME_BACK_MS = 1_000.0
+_DEFAULT_DELAY_MS = 1_000.0
 """After one to two seconds where nothing better is known."""
 
-_NO_USE_COMING_BACK = frozenset(
+_FINAL_RULES = frozenset(
     {
         decisions.Rule.KEY_REQUIRED,
         decisions.Rule.KEY_INVALID,
@@ -129,8 +129,8 @@
     )
     if soon and call.rule.target_ms:
         wait = retry_delay.for_call(state, call)
-    if not wait and rule not in _NO_USE_COMING_BACK:
-        wait = _COME_BACK_MS * (1.0 + state.random.random())
+    if not wait and rule not in _FINAL_RULES:
+        wait = _DEFAULT_DELAY_MS * (1.0 + state.random.random())
     out.append(
         effects.RefuseCall(
             call=call.id,
--- a/src/gingerturn/internal/core/retry_delay.py
+++ b/src/gingerturn/internal/core/retry_delay.py
@@ -10,26 +10,26 @@
 from gingerturn.internal import ids
 from gingerturn.internal.core import routing, state as states
 
-LEAST_MS = 100.0
+MIN_DELAY_MS = 100.0
 """Nobody is sent back sooner than answers with new levels come."""
 
-SAMPLE_MS = 300.0
+SLOPE_INTERVAL_MS = 300.0
 """Between the two levels that tell a slope: some three control windows, so that one
 window's noise is no trend."""
 
-SPREAD = 0.25
+JITTER = 0.25
 """Callers refused at one moment come back over a quarter of their wait: as one burst
 they would only be refused again."""
 
-UNKNOWN_MS = 1_000.0
+DEFAULT_DELAY_MS = 1_000.0
 """Where nothing tells when: after one to one and a quarter seconds, as long as a level
 takes to fall by one band when demand ends."""
 
-USUAL_MARGIN = 1.5
+ANSWER_TIME_MARGIN = 1.5
 """Times the mean time of answers that is left for the next one. Of a log-normal with a
 sigma of 0.8, as the work of the users' kinds has, four in five take less."""
 
-TIME_WEIGHT = 0.05
+ANSWER_TIME_WEIGHT = 0.05
 """Of one answer in the mean time, over some twenty."""
 
 
@@ -41,38 +41,42 @@
     if known is None:
         state.mean_answer_ms[kind] = elapsed
     else:
-        state.mean_answer_ms[kind] = known + TIME_WEIGHT * (elapsed - known)
+        state.mean_answer_ms[kind] = known + ANSWER_TIME_WEIGHT * (elapsed - known)
 
 
 def for_call(state: states.State, call: states.Call) -> ids.Milliseconds:
     """Return in how many ms a caller whose call is refused should come back."""
-    latest = _latest(state, call)
-    room = _room(state, call)
+    latest = _latest_useful_delay(state, call)
+    room = _delay_until_admitted(state, call)
     if room is None:
-        wait = UNKNOWN_MS if latest is None else latest * (1.0 - SPREAD)
+        wait = DEFAULT_DELAY_MS if latest is None else latest * (1.0 - JITTER)
     else:
-        wait = room if latest is None else min(room, latest * (1.0 - SPREAD))
-    wait = max(LEAST_MS, wait)
-    return wait * (1.0 + SPREAD * state.random.random())
+        wait = room if latest is None else min(room, latest * (1.0 - JITTER))
+    wait = max(MIN_DELAY_MS, wait)
+    return wait * (1.0 + JITTER * state.random.random())
 
 
-def _latest(state: states.State, call: states.Call) -> ids.Milliseconds | None:
+def _latest_useful_delay(
+    state: states.State, call: states.Call
+) -> ids.Milliseconds | None:
     """Return in how many ms it may come at the latest to be answered on target."""
-    usual = USUAL_MARGIN * state.mean_answer_ms.get(call.rule.name, 0.0)
+    usual = ANSWER_TIME_MARGIN * state.mean_answer_ms.get(call.rule.name, 0.0)
     latest = call.arrived_at + call.rule.target_ms - usual - state.now
-    return latest if latest > LEAST_MS else None
+    return latest if latest > MIN_DELAY_MS else None
 
 
-def _room(state: states.State, call: states.Call) -> ids.Milliseconds | None:
+def _delay_until_admitted(
+    state: states.State, call: states.Call
+) -> ids.Milliseconds | None:
     """Return in how many ms the level will have fallen to the rank of a call, where it
     is falling."""
     level = routing.service_level(state, call.service, call.rule.name)
     trend = state.trends.get(call.service)
-    if trend is None or state.now - trend.updated_at > 2 * SAMPLE_MS:
+    if trend is None or state.now - trend.updated_at > 2 * SLOPE_INTERVAL_MS:
         state.trends[call.service] = states.Trend(updated_at=state.now, level=level)
         return None
     elapsed = state.now - trend.updated_at
-    if elapsed >= SAMPLE_MS:
+    if elapsed >= SLOPE_INTERVAL_MS:
         trend.slope = (level - trend.level) / elapsed
         trend.updated_at = state.now
         trend.level = level
--- a/src/gingerturn/internal/core/routing.py
+++ b/src/gingerturn/internal/core/routing.py
@@ -93,7 +93,7 @@
     Most refusals end with the comparison: all are searched only for the few calls that
     rank between the least level and the others.
     """
-    if _own_rank(state, rank) < levels.lowest(state, service):
+    if _own_rank(state, rank) < levels.lowest_reported(state, service):
         return []
     start = int(state.random.random() * len(nodes))
     for offset in range(len(nodes)):
--- a/src/gingerturn/internal/core/saturation.py
+++ b/src/gingerturn/internal/core/saturation.py
@@ -15,22 +15,22 @@
 from gingerturn.internal import ids
 from gingerturn.internal.core import state as states
 
-NEARLY_FULL = 0.95
+SATURATED_OCCUPANCY = 0.95
 """Share of the slots from which a backend server counts as nearly full."""
 
-ROOMY = 0.85
+UNSATURATED_OCCUPANCY = 0.85
 """Up to this share it counts as having room; between the two nothing is compared."""
 
-ENOUGH = 40
+MIN_SAMPLES = 40
 """Calls of each sort before they are compared: the times of one kind vary by half of
 their mean, so the means of 40 differ by a tenth only now and then by chance."""
 
-SLOWDOWN = 1.15
+MIN_SLOWDOWN = 1.15
 """A slowdown that outweighs the slots that are left free: with 5 % fewer slots the
 rate falls by 5 %, so anything above that gains; the rest is a margin for chance."""
 
-WEIGHT = 1.0 / ENOUGH
-HOLD_MS = 30_000.0
+MEAN_WEIGHT = 1.0 / MIN_SAMPLES
+TRIAL_MS = 30_000.0
 """How long the slots are left free, or used again after a trial that changed nothing,
 before the comparison begins anew."""
 
@@ -43,11 +43,11 @@
     if state.child_kinds.get(kind):
         return
     knee = state.backend.saturation
-    if hosted.occupancy <= ROOMY:
+    if hosted.occupancy <= UNSATURATED_OCCUPANCY:
         _add(knee.unsaturated.setdefault(kind, states.Mean()), elapsed)
         return
     usual = knee.unsaturated.get(kind)
-    if usual is None or usual.count < ENOUGH or usual.mean <= 0.0:
+    if usual is None or usual.count < MIN_SAMPLES or usual.mean <= 0.0:
         return
     relative = elapsed / usual.mean
     if knee.limited_until and state.now >= knee.limited_until:
@@ -55,33 +55,35 @@
         knee.saturated = states.Mean()
         knee.limited_until = 0.0
     if state.now < knee.limited_until:
-        _judge_trial(state, hosted, relative)
-    elif hosted.occupancy >= NEARLY_FULL and state.now >= knee.next_trial_at:
+        _evaluate_trial(state, hosted, relative)
+    elif hosted.occupancy >= SATURATED_OCCUPANCY and state.now >= knee.next_trial_at:
         _add(knee.saturated, relative)
-        if knee.saturated.count >= ENOUGH and knee.saturated.mean > SLOWDOWN:
-            knee.limited_until = state.now + HOLD_MS
+        if knee.saturated.count >= MIN_SAMPLES and knee.saturated.mean > MIN_SLOWDOWN:
+            knee.limited_until = state.now + TRIAL_MS
             knee.limited = states.Mean()
 
 
-def _judge_trial(state: states.State, hosted: states.Hosted, relative: float) -> None:
+def _evaluate_trial(
+    state: states.State, hosted: states.Hosted, relative: float
+) -> None:
     """Use the last slots again if leaving them free makes no call faster."""
     knee = state.backend.saturation
-    at_most = _held_slots(state.backend) / max(1, state.backend.slots)
-    if hosted.started_at < knee.limited_until - HOLD_MS or hosted.occupancy < at_most:
+    at_most = _limited_slots(state.backend) / max(1, state.backend.slots)
+    if hosted.started_at < knee.limited_until - TRIAL_MS or hosted.occupancy < at_most:
         return
     _add(knee.limited, relative)
     if (
-        knee.limited.count == ENOUGH
-        and knee.saturated.mean < SLOWDOWN * knee.limited.mean
+        knee.limited.count == MIN_SAMPLES
+        and knee.saturated.mean < MIN_SLOWDOWN * knee.limited.mean
     ):
         knee.limited_until = state.now
-        knee.next_trial_at = state.now + HOLD_MS
+        knee.next_trial_at = state.now + TRIAL_MS
         knee.saturated = states.Mean()
 
 
 def _add(mean: states.Mean, value: float) -> None:
     mean.count += 1
-    mean.mean += max(WEIGHT, 1.0 / mean.count) * (value - mean.mean)
+    mean.mean += max(MEAN_WEIGHT, 1.0 / mean.count) * (value - mean.mean)
 
 
 def usable_slots(state: states.State) -> int:
@@ -89,8 +91,8 @@
     backend = state.backend
     if state.now >= backend.saturation.limited_until:
         return backend.slots
-    return _held_slots(backend)
+    return _limited_slots(backend)
 
 
-def _held_slots(backend: states.Backend) -> int:
-    return max(1, math.ceil(NEARLY_FULL * backend.slots) - 1)
+def _limited_slots(backend: states.Backend) -> int:
+    return max(1, math.ceil(SATURATED_OCCUPANCY * backend.slots) - 1)
--- a/src/gingerturn/internal/core/sending.py
+++ b/src/gingerturn/internal/core/sending.py
@@ -116,7 +116,7 @@
     if not may_repeat(call) or quarantine.entry_of(state, call.fingerprint):
         return False
     budget = _budget(state, call.service)
-    if call.tokens < 1 or budget.held < 1.0 or call.rank < _retry_cut(state, budget):
+    if call.tokens < 1 or budget.balance < 1.0 or call.rank < _retry_cut(state, budget):
         return False
     node = routing.choose(state, _others(state, call), call.rule.name, call.rank)
     return node is not None and state.now < call.deadline
@@ -171,7 +171,7 @@
         the next time.
     """
     budget = _budget(state, call.service)
-    figures = (float(call.tokens), budget.held, float(call.attempts))
+    figures = (float(call.tokens), budget.balance, float(call.attempts))
     allowed = may_repeat(call) if ran else call.replayable and not call.holder
     if not allowed or state.now >= call.deadline:
         return False
@@ -187,10 +187,10 @@
     if node is None:
         refusals.decide(state, call, decisions.Rule.RETRY_NO_UPSTREAM, out, figures)
         return False
-    rationing.record_demand(budget.wants, call.rank, state.now)
+    rationing.record_demand(budget.demand, call.rank, state.now)
     cut = _retry_cut(state, budget)
     if call.rank < cut:
-        figures = (budget.held, float(cut), float(call.rank))
+        figures = (budget.balance, float(cut), float(call.rank))
         refusals.decide(state, call, decisions.Rule.RETRY_RATIONED, out, figures)
         return False
     if not allowance.spend(budget):
@@ -225,8 +225,8 @@
 def _retry_cut(state: states.State, budget: allowance.Budget) -> ids.Rank:
     """Return the rank from which calls may draw on a budget."""
     window_ms = _window_ms(state)
-    supply = allowance.supply(budget, rationing.HORIZON_MS, window_ms)
-    return rationing.minimum_rank(budget.wants, supply, state.now)
+    supply = allowance.expected_supply(budget, rationing.HORIZON_MS, window_ms)
+    return rationing.minimum_rank(budget.demand, supply, state.now)
 
 
 def _window_ms(state: states.State) -> float:
@@ -244,11 +244,11 @@
     if bound is not None:
         share = min(share, allowance.EARNED_SHARE * bound.ratio)
         nodes = len(state.membership.members) - len(state.membership.gone)
-        most = allowance.shared_cap(budget, bound, nodes=nodes)
+        most = allowance.balance_limit(budget, bound, nodes=nodes)
     if call.repeat:
         allowance.charge_forced_repeat(budget)
     else:
-        allowance.earn(budget, share, most=most)
+        allowance.earn(budget, share, limit=most)
 
 
 def _budget(state: states.State, service: ids.ServiceName) -> allowance.Budget:
@@ -258,7 +258,7 @@
         if state.retry_bound is not None:
             # A node that has just started does not know how many others there are,
             # and when all start at once all would spend a share too large.
-            budget.held = 0.0
+            budget.balance = 0.0
         state.budgets[service] = budget
     return budget
 
--- a/src/gingerturn/internal/core/startup_waits.py
+++ b/src/gingerturn/internal/core/startup_waits.py
@@ -8,15 +8,15 @@
 from gingerturn.internal import ids
 from gingerturn.internal.core import state as states
 
-SETTLE_MS = 3_000.0
+STARTUP_MS = 3_000.0
 """From the start of a node: two heartbeats of a backend server, at the 1.5 s of today's
 deployments."""
 
-DEEP_HELD_MS = 1_000.0
+DEEP_WAIT_MS = 1_000.0
 """Most of that time is over by the next heartbeat, and little is left of most deadlines
 after more."""
 
-ROOT_HELD_MS = 300.0
+ROOT_WAIT_MS = 300.0
 """A whole request, for which nothing has been done yet, waits as long as nodes that
 were all restarted take to know one another: 0.2 to 0.3 s from the first that
 is ready, measured in their logs. It is refused then, with the time to come back."""
@@ -24,7 +24,7 @@
 
 def is_starting_up(state: states.State) -> bool:
     """Tell whether this node started so lately that it may not know all upstreams."""
-    return state.now < state.started_at + SETTLE_MS and not state.stopping
+    return state.now < state.started_at + STARTUP_MS and not state.stopping
 
 
 def enqueue(state: states.State, call: states.Call) -> bool:
@@ -35,7 +35,7 @@
     if not is_starting_up(state):
         return False
     deep = call.depth > 0
-    most = DEEP_HELD_MS if deep else ROOT_HELD_MS
+    most = DEEP_WAIT_MS if deep else ROOT_WAIT_MS
     until = call.arrived_at + most
     if until <= state.now:
         return False
@@ -44,7 +44,7 @@
 
 
 def take_due(
-    state: states.State, placeable: set[ids.ServiceName]
+    state: states.State, available: set[ids.ServiceName]
 ) -> tuple[list[states.Call], list[states.Call]]:
     """Take out the calls that wait no longer.
 
@@ -57,7 +57,7 @@
         call = state.calls.get(number)
         if call is None:
             del state.waiting_calls[number]
-        elif call.service in placeable:
+        elif call.service in available:
             ready.append(call)
             del state.waiting_calls[number]
         elif state.now >= until:
--- a/tests/common/builders.py
+++ b/tests/common/builders.py
@@ -95,7 +95,7 @@
     """Return a node with the configuration in force, some time after its start."""
     state = reducer.new_state(started(name, now=now))
     reducer.reduce(state, started(name, now=now))
-    state.started_at = now - startup_waits.SETTLE_MS
+    state.started_at = now - startup_waits.STARTUP_MS
     state.configuration = configured()
     if service:
         reducer.reduce(state, announced(service, slots=slots, now=now))
--- a/tests/common/routed.py
+++ b/tests/common/routed.py
@@ -70,7 +70,7 @@
     begin = started(name, retry_bound=retry_bound)
     state = reducer.new_state(begin)
     reducer.reduce(state, begin)
-    state.started_at = begin.now - startup_waits.SETTLE_MS
+    state.started_at = begin.now - startup_waits.STARTUP_MS
     reducer.reduce(state, events.RoutesReceived(now=begin.now, table=table(*listed)))
     if service:
         reducer.reduce(state, announced(service, slots=slots))
--- a/tests/cover/test_decisions_under_load.py
+++ b/tests/cover/test_decisions_under_load.py
@@ -209,7 +209,7 @@
     assert rule == decisions.Rule.NOT_IN_TIME
 
 
-def test_an_estimate_that_nothing_confirms_fades() -> None:
+def test_an_unconfirmed_service_time_decays() -> None:
     state = builders.node_state("p1", service="plans")
     state.backend.times["plan-status"] = states.ServiceTime(
         mean_ms=4_000.0, measured_at=builders.START
@@ -323,7 +323,7 @@
     assert len(upstreams.candidates(state, plans)) == 4
 
 
-def test_levels_keep_roots_out_before_any_work() -> None:
+def test_levels_refuse_roots_before_any_work() -> None:
     state = _entry("p1", "p2")
     high = builders.report(level=ranks.HIGHEST)
     for name in ("p1", "p2"):
@@ -335,7 +335,7 @@
     assert refusal.retry_after_ms >= 1_000
 
 
-def test_a_level_that_is_not_fresh_is_asked_for() -> None:
+def test_a_stale_level_is_requested() -> None:
     state = _entry("p1")
     high = builders.report(level=ranks.HIGHEST)
     routing.on_load_report(state, ids.NodeId("p1"), "plan-status", high)
@@ -353,7 +353,7 @@
     assert builders.all_of(again, effects.OpenAttempt)
 
 
-def test_a_silent_level_fades() -> None:
+def test_a_level_without_reports_decays() -> None:
     heard = states.ReportedLevel(level=ranks.HIGHEST, reported_at=builders.START)
     soon = builders.START + levels.FRESH_MS
     assert levels.decayed(heard, soon) == ranks.HIGHEST
--- a/tests/cover/test_fail_safe.py
+++ b/tests/cover/test_fail_safe.py
@@ -15,7 +15,7 @@
 from tests.common import builders, routed
 
 
-def test_a_sent_call_whose_refusal_could_not_be_taken_in_is_not_called_unrun(
+def test_a_failure_to_process_a_refusal_does_not_report_a_sent_call_as_not_run(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Seen with half-edited sources: taking in a home's refusal ended in an error after
@@ -46,7 +46,7 @@
     assert told.status == 504
 
 
-def test_a_call_refused_by_its_home_unrun_is_still_called_unrun() -> None:
+def test_a_call_refused_unrun_by_its_home_is_reported_as_not_run() -> None:
     state = routed.node_state(routed.route(kind=routes.RouteType.UNREPEATABLE))
     builders.add_members(state, builders.member("n2", "plans"))
     sent = routed.sent_to(reducer.reduce(state, routed.arrived(1)))
--- a/tests/cover/test_levels_at_size.py
+++ b/tests/cover/test_levels_at_size.py
@@ -42,7 +42,7 @@
     return state
 
 
-def _hear(state: states.State, number: int, report: messages.LoadReport) -> None:
+def _receive(state: states.State, number: int, report: messages.LoadReport) -> None:
     routing.on_load_report(state, ids.NodeId(f"u{number}"), "lookup", report)
     slot_costs.on_report(state.costs, "lookup", report)
 
@@ -53,47 +53,47 @@
 
 
 @pytest.mark.parametrize("upstreams", [3, 20, 95])
-def test_a_level_told_by_a_few_upstreams_holds_for_the_service(upstreams: int) -> None:
+def test_reports_of_a_few_upstreams_decide_for_the_service(upstreams: int) -> None:
     state = _entry(upstreams)
     for number in range(3):
         state.now += 400.0
-        _hear(state, number, builders.report(tree_level=HIGH))
+        _receive(state, number, builders.report(tree_level=HIGH))
     assert _refused(state, 1)
     # Roots are refused by its own level too, wherever a draw falls.
     state = _entry(upstreams)
     for number in range(3):
-        _hear(state, number, builders.report(level=HIGH))
+        _receive(state, number, builders.report(level=HIGH))
     assert all(_refused(state, call) for call in range(2, 40))
 
 
-def test_an_upstream_that_told_nothing_of_late_is_judged_by_the_others() -> None:
+def test_an_upstream_without_recent_reports_is_judged_by_the_others() -> None:
     state = _entry(2)
-    _hear(state, 0, builders.report(level=HIGH))
-    _hear(state, 1, builders.report())
+    _receive(state, 0, builders.report(level=HIGH))
+    _receive(state, 1, builders.report())
     state.now += levels.FRESH_MS + 1.0
-    _hear(state, 0, builders.report(level=HIGH))
+    _receive(state, 0, builders.report(level=HIGH))
     assert _refused(state, 1)
 
 
 def test_one_upstream_that_sheds_all_does_not_lift_the_level_of_the_service() -> None:
     state = _entry(10)
-    _hear(state, 0, builders.report(level=HIGH))
+    _receive(state, 0, builders.report(level=HIGH))
     for number in range(1, 10):
-        _hear(state, number, builders.report(level=ids.Rank(1_000)))
+        _receive(state, number, builders.report(level=ids.Rank(1_000)))
     assert levels.own_level(state, PLANS).level == 1_000
 
 
-def test_the_median_follows_what_was_told_last() -> None:
+def test_the_median_follows_the_latest_reports() -> None:
     state = _entry(95)
     for number in range(95):
-        _hear(state, number, builders.report(tree_level=ids.Rank(1_000)))
+        _receive(state, number, builders.report(tree_level=ids.Rank(1_000)))
     state.now += levels.FRESH_MS + 1.0
-    _hear(state, 7, builders.report(tree_level=ids.Rank(400)))
+    _receive(state, 7, builders.report(tree_level=ids.Rank(400)))
     known = levels.expected_level(state, PLANS, "lookup")
     assert (known.level, known.reported_at) == (400, state.now)
 
 
-def _word(level: int, *, age_ms: float) -> messages.LoadReport:
+def _bottleneck_report(level: int, *, age_ms: float) -> messages.LoadReport:
     return messages.LoadReport(
         level=ranks.LOWEST,
         tree_level=ranks.LOWEST,
@@ -106,34 +106,34 @@
     )
 
 
-def test_the_latest_word_on_the_scarcest_service_decides_on_roots() -> None:
+def test_the_latest_bottleneck_level_decides_on_roots() -> None:
     state = _entry(95)
-    _hear(state, 0, _word(HIGH, age_ms=20.0))
+    _receive(state, 0, _bottleneck_report(HIGH, age_ms=20.0))
     assert _refused(state, 1)
     # An older word that comes later by a slower way changes nothing.
-    _hear(state, 1, _word(0, age_ms=300.0))
+    _receive(state, 1, _bottleneck_report(0, age_ms=300.0))
     assert _refused(state, 2)
-    _hear(state, 2, _word(0, age_ms=10.0))
+    _receive(state, 2, _bottleneck_report(0, age_ms=10.0))
     assert not _refused(state, 3)
 
 
-def test_a_node_passes_the_word_on_with_its_age() -> None:
+def test_a_node_relays_the_bottleneck_level_with_its_age() -> None:
     state = routed.node_state(routed.route(), service="porting")
     builders.add_members(state, builders.member("u0", "plans"))
     state.costs.reported["lookup"] = states.TreeCost(SCARCE, 56.0)
     state.costs.fanouts["port"] = states.Fanout(
         1.0, {(PLANS, ids.KindName("lookup")): 1.0}
     )
-    _hear(state, 0, _word(70_000, age_ms=50.0))
+    _receive(state, 0, _bottleneck_report(70_000, age_ms=50.0))
     state.now += 100.0
     report = admission.load_report(state, "port")
     assert report.bottleneck == SCARCE
     assert (report.bottleneck_level, report.bottleneck_age_ms) == (70_000, 150.0)
 
 
-def test_a_refusal_tells_how_old_the_word_was_that_decided_it() -> None:
+def test_a_refusal_records_the_age_of_the_level_that_decided_it() -> None:
     state = _entry(95)
-    _hear(state, 0, _word(HIGH, age_ms=40.0))
+    _receive(state, 0, _bottleneck_report(HIGH, age_ms=40.0))
     state.now += 60.0
     out = reducer.reduce(state, routed.arrived(1, now=state.now))
     line = builders.only(out, effects.LogDecision)
@@ -143,17 +143,17 @@
     assert named["age in ms of that word"] == 100.0
 
 
-def test_the_ages_of_words_that_decided_are_counted() -> None:
+def test_ages_of_deciding_levels_are_counted() -> None:
     state = _entry(95)
     _refused(state, 1)
-    _hear(state, 0, _word(0, age_ms=70.0))
+    _receive(state, 0, _bottleneck_report(0, age_ms=70.0))
     _refused(state, 2)
     assert state.level_age_counts == [0, 1, 0, 0, 0, 0, 1]
 
 
-def test_a_word_fades_like_a_level() -> None:
+def test_a_bottleneck_level_decays() -> None:
     state = _entry(95)
-    _hear(state, 0, _word(HIGH, age_ms=0.0))
+    _receive(state, 0, _bottleneck_report(HIGH, age_ms=0.0))
     state.now += levels.FRESH_MS + 3_000.0
     assert not _refused(state, 1)
 
@@ -179,15 +179,15 @@
     asked: list[str] = []
     original = upstreams.is_unresponsive
 
-    def is_silent(state: states.State, node: ids.NodeId) -> bool:
+    def is_unresponsive(state: states.State, node: ids.NodeId) -> bool:
         asked.append(node)
         return original(state, node)
 
-    monkeypatch.setattr(upstreams, "is_silent", is_silent)
+    monkeypatch.setattr(upstreams, "is_unresponsive", is_unresponsive)
     for _ in range(50):
         assert "u7" not in upstreams.candidates(state, PLANS)
     assert len(asked) <= 2 * 400
-    _hear(state, 7, builders.report())
+    _receive(state, 7, builders.report())
     assert "u7" in upstreams.candidates(state, PLANS)
 
 
--- a/tests/cover/test_retry_bound.py
+++ b/tests/cover/test_retry_bound.py
@@ -113,7 +113,7 @@
     assert 0.7 < _play(SAVED_UP_THEN_SPENT) <= 1.0
 
 
-def test_that_proof_fails_where_all_of_the_ratio_is_earned_and_saved_up_too(
+def test_the_bound_check_fails_with_full_earned_and_burst_shares(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(allowance, "EARNED_SHARE", 1.0)
--- a/tests/cover/test_come_back.py
+++ b/tests/cover/test_retry_delay.py
@@ -29,7 +29,7 @@
     return state
 
 
-def _tell(state: states.State, level: int, *, after_ms: float) -> None:
+def _report_level(state: states.State, level: int, *, after_ms: float) -> None:
     state.now += after_ms
     report = builders.report(level=ids.Rank(level))
     routing.on_load_report(state, ids.NodeId("n2"), "lookup", report)
@@ -40,16 +40,16 @@
     return builders.only(out, effects.RefuseCall).retry_after_ms
 
 
-def test_under_a_lasting_overload_they_come_while_an_answer_is_on_target() -> None:
+def test_a_steady_overload_gives_a_delay_within_the_latency_target() -> None:
     state = _entry(level=FULL)
     state.mean_answer_ms["lookup"] = 100.0
     for call in range(10, 60):
         wait = _refused(state, call)
-        usual = retry_delay.USUAL_MARGIN * 100.0
+        usual = retry_delay.ANSWER_TIME_MARGIN * 100.0
         assert TARGET_MS / 2 < wait <= TARGET_MS - usual
 
 
-def test_the_longer_answers_take_the_sooner_they_come() -> None:
+def test_longer_answer_times_shorten_the_delay() -> None:
     waits = []
     for usual in (20.0, 200.0):
         state = _entry(level=FULL)
@@ -58,13 +58,13 @@
     assert waits[0] > waits[1] + 100.0
 
 
-def test_where_the_level_falls_they_come_when_it_has_passed_their_rank() -> None:
+def test_a_falling_level_gives_the_time_until_it_passes_the_rank() -> None:
     state = _entry(level=FULL)
     state.mean_answer_ms["lookup"] = 10.0
     _refused(state, 10)
     # It falls by 4,000 a millisecond; a call of half that span below has half a
     # second less to wait.
-    _tell(state, FULL - 4_000 * 300, after_ms=300.0)
+    _report_level(state, FULL - 4_000 * 300, after_ms=300.0)
     level = FULL - 4_000 * 300
     for call in range(11, 30):
         out = reducer.reduce(state, routed.arrived(call, now=state.now))
@@ -72,25 +72,25 @@
         if not refusals:
             continue
         rank = next(line for line in builders.all_of(out, effects.LogDecision)).figures
-        room_ms = max(retry_delay.LEAST_MS, (level - rank[2]) / 4_000)
-        assert refusals[0].retry_after_ms <= room_ms * (1 + retry_delay.SPREAD) + 1
+        room_ms = max(retry_delay.MIN_DELAY_MS, (level - rank[2]) / 4_000)
+        assert refusals[0].retry_after_ms <= room_ms * (1 + retry_delay.JITTER) + 1
 
 
-def test_nobody_is_sent_back_before_news_of_levels_can_have_come() -> None:
+def test_the_delay_is_never_below_the_minimum() -> None:
     state = _entry(level=FULL)
     state.mean_answer_ms["lookup"] = 1_000.0
     for call in range(10, 40):
-        assert _refused(state, call) >= retry_delay.LEAST_MS
+        assert _refused(state, call) >= retry_delay.MIN_DELAY_MS
 
 
-def test_callers_refused_at_one_moment_do_not_come_back_at_one() -> None:
+def test_delays_of_simultaneous_refusals_are_spread() -> None:
     state = _entry(level=FULL)
     waits = [_refused(state, call) for call in range(10, 60)]
     assert max(waits) - min(waits) > 0.1 * min(waits)
     assert len(set(waits)) > 40
 
 
-def test_the_time_of_answers_follows_what_callers_got() -> None:
+def test_the_mean_answer_time_follows_the_answers() -> None:
     state = _entry(level=0)
     for call in range(10, 200):
         sent = routed.sent_to(reducer.reduce(state, routed.arrived(call)))
--- a/tests/cover/test_retry_rationing.py
+++ b/tests/cover/test_retry_rationing.py
@@ -27,7 +27,7 @@
 REFUSED = decisions.Rule.BACKEND_REFUSED
 
 
-def _wanting(count: int, *, over_ms: float) -> rationing.RetryDemand:
+def _demand(count: int, *, over_ms: float) -> rationing.RetryDemand:
     wants = rationing.RetryDemand()
     drawn = random.Random(1)
     for number in range(count):
@@ -36,28 +36,28 @@
     return wants
 
 
-def test_a_budget_that_carries_all_wants_cuts_nobody_off() -> None:
-    wants = _wanting(100, over_ms=1_000.0)
+def test_a_sufficient_budget_rations_no_call() -> None:
+    wants = _demand(100, over_ms=1_000.0)
     assert rationing.minimum_rank(wants, 200.0, 1_000.0) == ranks.LOWEST
 
 
 @pytest.mark.parametrize(("supply", "share"), [(25.0, 0.5), (5.0, 0.1), (0.0, 0.0)])
 def test_a_short_budget_goes_to_the_highest_ranks(supply: float, share: float) -> None:
     # 100 wants a second are 50 within the half second that a budget is divided over.
-    wants = _wanting(100, over_ms=1_000.0)
+    wants = _demand(100, over_ms=1_000.0)
     cut = rationing.minimum_rank(wants, supply, 1_000.0)
-    carried = [rank for _, rank in wants.seen if rank >= cut]
+    carried = [rank for _, rank in wants.samples if rank >= cut]
     assert len(carried) == pytest.approx(100 * share, abs=1)
 
 
-def test_wants_of_long_ago_tell_nothing() -> None:
-    wants = _wanting(100, over_ms=1_000.0)
+def test_old_demand_is_ignored() -> None:
+    wants = _demand(100, over_ms=1_000.0)
     assert rationing.minimum_rank(wants, 1.0, 60_000.0) == ranks.LOWEST
 
 
-def test_what_is_kept_of_wants_is_bounded() -> None:
-    wants = _wanting(10_000, over_ms=1_000.0)
-    assert len(wants.seen) <= 2 * rationing.MOST_KEPT
+def test_kept_demand_is_bounded() -> None:
+    wants = _demand(10_000, over_ms=1_000.0)
+    assert len(wants.samples) <= 2 * rationing.MAX_SAMPLES
     # The rate is told by what is kept all the same: a tenth of the wants is carried.
     cut = rationing.minimum_rank(wants, 500.0, 1_000.0)
     assert 850 < cut < 950
@@ -114,11 +114,11 @@
     assert attempts > 2
 
 
-def test_a_call_below_the_cut_is_not_repeated_and_the_log_says_why() -> None:
+def test_a_call_below_the_minimum_rank_is_not_retried_and_logged() -> None:
     state = _entry("n2", "n3")
     budget = state.budgets[ids.ServiceName("plans")]
     for _ in range(2_000):
-        rationing.record_demand(budget.wants, ids.Rank(ranks.HIGHEST), state.now)
+        rationing.record_demand(budget.demand, ids.Rank(ranks.HIGHEST), state.now)
     first = routed.sent_to(reducer.reduce(state, routed.arrived(1)))
     out = _turned_away(state, first.attempt, room=True)
     assert not builders.all_of(out, effects.OpenAttempt)
@@ -126,14 +126,14 @@
     assert decisions.Rule.RETRY_RATIONED in rules
 
 
-def test_a_call_without_a_repeat_is_left_at_a_node_that_falls_silent() -> None:
+def test_a_call_that_cannot_be_retried_stays_at_an_unresponsive_node() -> None:
     # It was cancelled first and then found no budget, and nobody answered its caller.
     state = _entry("n2", "n3")
     sent = routed.sent_to(reducer.reduce(state, routed.arrived(1)))
     budget = state.budgets[ids.ServiceName("plans")]
-    assert budget.held >= 1.0
+    assert budget.balance >= 1.0
     for _ in range(2_000):
-        rationing.record_demand(budget.wants, ids.Rank(ranks.HIGHEST), state.now)
+        rationing.record_demand(budget.demand, ids.Rank(ranks.HIGHEST), state.now)
     out: list[effects.Effect] = []
     calls.on_node_unresponsive(state, sent.node, out)
     assert not builders.all_of(out, effects.CancelAttempt)
--- a/tests/cover/test_routed_attempts.py
+++ b/tests/cover/test_routed_attempts.py
@@ -188,7 +188,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(
-        allowance, "shared_cap", lambda budget, bound, *, nodes: bound.slack
+        allowance, "balance_limit", lambda budget, bound, *, nodes: bound.slack
     )
     steps = [(10, False)] * 400 + [(20_000, True)] + [(0, True)] * 20
     with pytest.raises(AssertionError):
@@ -218,7 +218,7 @@
         call = routed.arrived(10 + number, path="/b/x", request=request)
         sent = routed.sent_to(reducer.reduce(state, call))
         assert sent.metadata.repeat is repeat
-    assert state.budgets[ids.ServiceName("porting")].held < 0.0
+    assert state.budgets[ids.ServiceName("porting")].balance < 0.0
 
 
 def test_the_backend_server_of_a_stopping_routed_node_gets_work_for_a_while() -> None:
--- a/tests/cover/test_knee.py
+++ b/tests/cover/test_saturation.py
@@ -20,7 +20,9 @@
         for taken in range(1, level + 1):
             number += 1
             reducer.reduce(state, builders.opened(number, now=state.now))
-            factor = slowdown if taken >= saturation.NEARLY_FULL * SLOTS else 1.0
+            factor = (
+                slowdown if taken >= saturation.SATURATED_OCCUPANCY * SLOTS else 1.0
+            )
             running.append((rng.uniform(50, 150) * factor, number))
         begun = state.now
         for elapsed, hosted in sorted(running):
@@ -44,11 +46,11 @@
 
 def test_the_slots_are_tried_again_later() -> None:
     state = _play(1.5)
-    state.now += saturation.HOLD_MS + 1
+    state.now += saturation.TRIAL_MS + 1
     assert saturation.usable_slots(state) == SLOTS
 
 
-def test_calls_that_call_others_tell_nothing() -> None:
+def test_calls_with_child_calls_are_not_measured() -> None:
     state = routed.node_state(service="plans", slots=SLOTS)
     state.child_kinds["plan-status"] = {("below", "x"): state.now}
     reducer.reduce(state, builders.opened(1))
@@ -74,11 +76,11 @@
         reducer.reduce(state, done)
 
 
-def test_it_shows_within_a_moment_of_overload_that_began_from_calm() -> None:
+def test_saturation_is_detected_soon_after_overload_begins() -> None:
     # No call finds room any more by then: what the kind takes is known from before.
     state = routed.node_state(service="plans", slots=SLOTS)
     _fill(state, calls=60, busy=8, work_ms=50.0, first=1)
-    _fill(state, calls=saturation.ENOUGH, busy=SLOTS, work_ms=65.0, first=100)
+    _fill(state, calls=saturation.MIN_SAMPLES, busy=SLOTS, work_ms=65.0, first=100)
     assert saturation.usable_slots(state) < SLOTS
 
 
@@ -86,19 +88,19 @@
     # The backend server turned slow for another reason, while it was full.
     state = routed.node_state(service="plans", slots=SLOTS)
     _fill(state, calls=60, busy=8, work_ms=50.0, first=1)
-    _fill(state, calls=saturation.ENOUGH, busy=SLOTS, work_ms=200.0, first=100)
+    _fill(state, calls=saturation.MIN_SAMPLES, busy=SLOTS, work_ms=200.0, first=100)
     held = saturation.usable_slots(state)
     assert held < SLOTS
-    _fill(state, calls=saturation.ENOUGH, busy=held, work_ms=200.0, first=200)
+    _fill(state, calls=saturation.MIN_SAMPLES, busy=held, work_ms=200.0, first=200)
     assert saturation.usable_slots(state) == SLOTS
-    _fill(state, calls=saturation.ENOUGH, busy=SLOTS, work_ms=200.0, first=300)
+    _fill(state, calls=saturation.MIN_SAMPLES, busy=SLOTS, work_ms=200.0, first=300)
     assert saturation.usable_slots(state) == SLOTS
 
 
 def test_the_slots_stay_free_while_that_makes_calls_faster() -> None:
     state = routed.node_state(service="plans", slots=SLOTS)
     _fill(state, calls=60, busy=8, work_ms=50.0, first=1)
-    _fill(state, calls=saturation.ENOUGH, busy=SLOTS, work_ms=65.0, first=100)
+    _fill(state, calls=saturation.MIN_SAMPLES, busy=SLOTS, work_ms=65.0, first=100)
     held = saturation.usable_slots(state)
-    _fill(state, calls=2 * saturation.ENOUGH, busy=held, work_ms=50.0, first=200)
+    _fill(state, calls=2 * saturation.MIN_SAMPLES, busy=held, work_ms=50.0, first=200)
     assert saturation.usable_slots(state) == held
--- a/tests/cover/test_settling.py
+++ b/tests/cover/test_startup_waits.py
@@ -47,7 +47,7 @@
     assert not state.waiting_calls
 
 
-def test_it_is_sent_once_only() -> None:
+def test_a_waiting_call_is_sent_only_once() -> None:
     state = _fresh()
     _call_of_a_running_request(state)
     builders.add_members(state, builders.member("n2", "stock"))
@@ -57,30 +57,30 @@
     assert len(state.attempts) == 1
 
 
-def test_it_is_refused_when_it_has_waited_long_enough() -> None:
+def test_a_waiting_call_is_refused_after_its_maximum_wait() -> None:
     state = _fresh()
     terms = builders.call_terms(kind="lookup", trace="r1", deadline_ms=4_000.0)
     reducer.reduce(state, builders.opened(1, terms))
     reducer.reduce(state, routed.arrived(7, path="/b/x", request="r1.c1"))
-    out = builders.passed(state, startup_waits.DEEP_HELD_MS - 20.0)
+    out = builders.passed(state, startup_waits.DEEP_WAIT_MS - 20.0)
     assert not builders.all_of(out, effects.RefuseCall)
     refusal = builders.only(builders.passed(state, CHECK_MS), effects.RefuseCall)
     assert refusal.status == 503
     assert not state.waiting_calls
 
 
-def test_a_new_request_waits_for_a_moment_and_may_soon_come_back() -> None:
+def test_a_new_request_waits_briefly_and_gets_a_short_retry_delay() -> None:
     state = _fresh()
     out = reducer.reduce(state, routed.arrived(1, path="/b/x"))
-    out += builders.passed(state, startup_waits.ROOT_HELD_MS - 20.0)
+    out += builders.passed(state, startup_waits.ROOT_WAIT_MS - 20.0)
     assert not builders.all_of(out, effects.RefuseCall)
     refusal = builders.only(builders.passed(state, CHECK_MS), effects.RefuseCall)
     assert 0 < refusal.retry_after_ms <= TARGET_MS / 2
 
 
-def test_a_node_that_has_settled_refuses_at_once() -> None:
+def test_a_node_past_its_startup_refuses_at_once() -> None:
     state = _fresh()
-    state.started_at = state.now - startup_waits.SETTLE_MS
+    state.started_at = state.now - startup_waits.STARTUP_MS
     refusal = builders.only(_call_of_a_running_request(state), effects.RefuseCall)
     assert refusal.title == "no upstream"
 
@@ -93,7 +93,7 @@
     assert not state.attempts and not state.waiting_calls
 
 
-def test_a_waiting_call_that_may_not_repeat_is_told_not_to_have_run() -> None:
+def test_an_unrepeatable_waiting_call_is_refused_as_not_run() -> None:
     route = routed.route(
         prefix="/b/", kind=routes.RouteType.UNREPEATABLE, shares=(("stock", 1),)
     )
--- a/tests/quality/test_rules_can_be_broken.py
+++ b/tests/quality/test_rules_can_be_broken.py
@@ -53,9 +53,9 @@
     test_quarantine as of_quarantine,
     test_routed_attempts as attempts,
     test_routes as of_routes,
-    test_settling as settling,
     test_silent_nodes as silent,
     test_standstill as stood_still,
+    test_startup_waits as startup,
     test_ticks as ticks,
     test_workspaces as of_workspaces,
 )
@@ -346,7 +346,7 @@
         sending.startup_waits,
         "enqueue",
         _false,
-        settling.test_a_call_of_a_running_request_waits_for_the_first_upstream,
+        startup.test_a_call_of_a_running_request_waits_for_the_first_upstream,
     ),
     (
         "a suspected upstream that answers stays in use",
