--- a/src/gingerturn/internal/core/admission.py
+++ b/src/gingerturn/internal/core/admission.py
@@ -1,8 +1,7 @@
-"""Admission to the backend server: limit and queue.
+"""Admission to the backend server: concurrency limit and queue.
 
-The limit is the concurrency handed to the backend server. The queue is short,
-ordered by rank, and holds only what can still be run in time. What cannot be carried
-raises the level that callers' nodes are told (:mod:`.level_control`).
+The queue is short and ordered by rank. Calls beyond its bound are shed, which raises
+the level that load reports carry to the nodes of callers (:mod:`.level_control`).
 """
 
 import bisect
@@ -20,47 +19,48 @@
 )
 
 QUEUE_MS = 400.0
-"""The queue holds what starts within this time. Chosen with the gains of the level by a
-sweep over 150 to 600 ms on three seeds (docs/design/levels.md): shorter queues lose
-bursts, longer ones add to what must be shed once they are full."""
+"""Target queueing delay, from which the length of the queue is bounded. Shorter queues
+shed short bursts, longer ones delay the rise of the level (docs/design/levels.md)."""
 
 MIN_QUEUE = 4
-"""Room for the chance meetings of calls where few slots turn over slowly."""
+"""Lower bound of the queue length, for coinciding arrivals at few slots."""
 
 ROOT_WAIT_FACTOR = 2
-"""A root leaves the queue after twice the time that the queue is meant to hold."""
+"""Maximum wait of a root in the queue, as a multiple of :data:`QUEUE_MS`."""
 
 DEEP_QUEUE_FACTOR = 4
-"""A call deeper in a tree may wait several times as long before it is shed,
-since the work done for it would be lost; the level rises long before."""
+"""Multiple of the queue bound and of :data:`QUEUE_MS` that applies to calls below a
+root, since shedding them wastes the work already done for their request."""
 
 ROUTED_DEEP_FACTOR = 2
-"""On routes half of that, for the same reason as :data:`ROUTED_OVERAGE`."""
+"""The same on routes, where sequential calls wait in several queues within one timeout;
+see :data:`.level_control.ROUTED_OVERAGE`."""
 
 SLOW_START_SHARE = 0.2
-"""A cold backend server begins with a fifth of its slots and doubles each round."""
+"""Share of the slots that a cold backend server begins with. The limit grows by one
+with each success, so it doubles each round."""
 
 FULL_OCCUPANCY = 0.75
-"""A backend server that announced its slots and turns calls away while fewer than this
-share of them are taken is faulty, not full: a lower limit would only turn away more."""
+"""Occupancy below which a refusal by the backend server counts as a fault and not as
+overload, so that it does not lower the limit."""
 
 LIMIT_CUT_FACTOR = 0.9
 LIMIT_CUT_INTERVAL_MS = 100.0
-"""A tenth for each refusal, once a window: a burst of refusals is one message."""
+"""Minimum interval between two cuts, so that a burst of refusals cuts it only once."""
 
 SERVICE_TIME_WEIGHT = 0.1
 SERVICE_TIME_HALF_LIFE_MS = 2_000.0
-"""An estimate that nothing confirms halves every 2 s: else a service that was
-slow once would be refused for ever, as nothing would measure it again."""
+"""Half-life of a service time without new measurements. Without decay, a kind that was
+slow once could be refused forever, since refused calls are not measured."""
 
 MAX_SAMPLES = 4_096
-"""Arrivals kept of one window, a bound on memory: 40,000 calls a second."""
+"""Maximum number of ranks recorded in one window, to bound memory."""
 
 
 def announce(
     state: states.State, now: ids.Milliseconds, *, slots: int, cold: bool
 ) -> None:
-    """Set the limits of a backend server that announces or renews itself."""
+    """Set the limits of a backend server from its announcement or renewal."""
     backend = state.backend
     if not backend.present:
         share = SLOW_START_SHARE if cold else 1.0
@@ -72,7 +72,7 @@
 
 
 def reset_measurements(state: states.State) -> None:
-    """Forget what was measured of the backend server before a new start of it."""
+    """Reset the measurements of a backend server that started again."""
     backend = state.backend
     backend.level = ranks.LOWEST
     backend.windows = [states.Window()]
@@ -80,7 +80,7 @@
 
 
 def queue_bound(state: states.State, kind: str) -> int:
-    """Return how many calls may wait, from the observed service time."""
+    """Return how many calls may be queued, from the observed service time."""
     backend = state.backend
     service_ms = max(1.0, service_time(state, kind))
     bound = math.ceil(backend.limit * QUEUE_MS / service_ms)
@@ -88,8 +88,8 @@
 
 
 def _record_queue_length(state: states.State, kind: str) -> None:
-    """Keep the least length of the queue in this window; a queue that never runs
-    dry is a standing one."""
+    """Record the minimum queue length of the current window, which detects a standing
+    queue."""
     window = state.backend.windows[-1]
     length = len(state.backend.queue)
     if length < window.least_queue:
@@ -99,7 +99,7 @@
 
 
 def service_time(state: states.State, kind: str) -> float:
-    """Return the observed time of a kind in ms; 0 when nothing is known."""
+    """Return the observed service time of a kind in ms, or 0 if there is none."""
     measured = state.backend.times.get(kind)
     if measured is None:
         return 0.0
@@ -110,7 +110,7 @@
 
 
 def record_service_time(state: states.State, kind: str, elapsed: float) -> None:
-    """Take in the time of a finished call."""
+    """Update the service time of a kind with a finished call."""
     measured = state.backend.times.get(kind)
     if measured is None:
         state.backend.times[kind] = states.ServiceTime(
@@ -122,29 +122,29 @@
 
 
 def record_arrival(state: states.State, rank: ids.Rank) -> None:
-    """Count an arriving call in the current window."""
+    """Record the rank of an arriving call in the current window."""
     window = state.backend.windows[-1]
     if len(window.ranks) < MAX_SAMPLES:
-        # On routes a level tells which requests to refuse at their root, whether the
-        # root itself or its calls come here; so both are put on one scale.
+        # On routes the level decides which requests are refused at their root, so roots
+        # and the calls below them are recorded on the same scale.
         window.ranks.append(ranks.deep_rank(rank) if state.routed else rank)
 
 
 def has_slot(state: states.State) -> bool:
-    """Tell whether a call may be handed over now."""
+    """Whether a call may be dispatched now."""
     backend = state.backend
     return backend.running < min(int(backend.limit), saturation.usable_slots(state))
 
 
 def take_slot(state: states.State) -> None:
-    """Occupy a slot."""
+    """Occupy a slot for a dispatched call."""
     accumulate_busy_time(state)
     state.backend.running += 1
     state.backend.windows[-1].dispatched += 1
 
 
 def free_slot(state: states.State) -> None:
-    """Give a slot back."""
+    """Release the slot of a finished call."""
     accumulate_busy_time(state)
     state.backend.running -= 1
 
@@ -152,7 +152,7 @@
 def enqueue(state: states.State, hosted: states.Hosted) -> ids.HostedId | None:
     """Queue a call.
 
-    :return: the call that has to leave the queue for it, which may be itself.
+    :return: the call that is shed for it, which may be the call itself.
     """
     backend = state.backend
     entry = (hosted.rank, -state.next_number(), hosted.id)
@@ -173,7 +173,7 @@
 
 
 def dequeue(state: states.State) -> ids.HostedId | None:
-    """Take the highest ranked call out of the queue."""
+    """Remove and return the call of the highest rank."""
     backend = state.backend
     if not backend.queue:
         backend.windows[-1].least_queue = 0
@@ -184,13 +184,13 @@
 
 
 def remove(state: states.State, hosted: ids.HostedId) -> None:
-    """Take a call out of the queue wherever it stands."""
+    """Remove a call from the queue, at any position."""
     queue = state.backend.queue
     queue[:] = [entry for entry in queue if entry[2] != hosted]
 
 
 def expected_wait(state: states.State, kind: str, rank: ids.Rank) -> float:
-    """Return the time in ms that a call of this rank would wait in the queue."""
+    """Return the expected queueing delay of a call of this rank, in ms."""
     backend = state.backend
     if has_slot(state):
         return 0.0
@@ -199,13 +199,13 @@
 
 
 def has_room(state: states.State) -> bool:
-    """Tell whether a backend server that turns a call away does so with slots free."""
+    """Whether the backend server has slots free, so that its refusal is a fault."""
     backend = state.backend
     return backend.running < FULL_OCCUPANCY * backend.slots
 
 
 def record_backend_refusal(state: states.State) -> None:
-    """Cut the limit: the backend server itself shed a call."""
+    """Cut the limit after the backend server itself refused a call."""
     backend = state.backend
     backend.slow_start = False
     if state.now - backend.last_cut_at < LIMIT_CUT_INTERVAL_MS:
@@ -219,7 +219,7 @@
 
 
 def record_backend_success(state: states.State) -> None:
-    """Let the limit grow after a success, if it was what held calls back."""
+    """Raise the limit after a success, if the limit was reached."""
     backend = state.backend
     if backend.limit >= backend.slots or backend.running + 1 < int(backend.limit):
         return
@@ -231,10 +231,10 @@
 
 
 def expire_queued(state: states.State) -> list[ids.HostedId]:
-    """Take out of the queue what waited longer than the queue is meant to hold.
+    """Remove and return the queued calls that exceeded their maximum wait.
 
-    A call of low rank can be overtaken for seconds; meanwhile it holds the slots of
-    the calls above it, which cost more slot time than all shed calls together.
+    A call of low rank can be overtaken for seconds, while the calls above it in its
+    tree occupy their slots.
     """
     backend = state.backend
     found = []
@@ -251,7 +251,7 @@
 
 
 def tree_level(state: states.State, kind: str) -> ids.Rank:
-    """Return the level of the services that calls of a kind go on to."""
+    """Return the highest level of the services that calls of a kind call."""
     children = state.child_kinds.get(kind)
     if not children:
         return ranks.LOWEST
@@ -262,16 +262,16 @@
 
 
 def request_child_levels(state: states.State, kind: str, out: states.Effects) -> None:
-    """Ask the services that calls of a kind go on to for their present levels."""
+    """Request the current levels of the services that calls of a kind call."""
     for service, child in state.child_kinds.get(kind, {}):
         routing.request_levels(state, ids.ServiceName(service), child, out)
 
 
 def load_report(state: states.State, kind: str) -> messages.LoadReport:
-    """Return the load report that rides on an answer."""
+    """Return the load report to attach to an answer."""
     backend = state.backend
     cost = slot_costs.report_of(state, kind)
-    word = levels.latest_report(state, cost.service)
+    bottleneck = levels.latest_report(state, cost.service)
     return messages.LoadReport(
         level=backend.level,
         tree_level=tree_level(state, kind),
@@ -280,17 +280,17 @@
         leaving=backend.leaving or state.departed,
         bottleneck=cost.service,
         bottleneck_slot_ms=round(cost.slot_ms),
-        bottleneck_level=word.level,
-        bottleneck_age_ms=round(state.now - word.reported_at),
+        bottleneck_level=bottleneck.level,
+        bottleneck_age_ms=round(state.now - bottleneck.reported_at),
     )
 
 
 def retry_after_ms(state: states.State, rank: int, level: int) -> float:
-    """Return when a refused caller should come back, in ms.
+    """Return the retry delay of a refused caller in ms.
 
-    From the observed state: a level falls by one band in about a second once
-    demand falls, so the distance from rank to level tells the earliest time at
-    which the answer can differ. A random part spreads the callers.
+    Once demand falls, a level falls by one band in about a second, so the distance
+    between rank and level gives the earliest time at which the call may be admitted.
+    Jitter spreads the callers.
     """
     bands = max(0, level - rank) / ranks.BAND
     base = 1_000.0 * (1.0 + min(bands, 8.0))
@@ -298,7 +298,7 @@
 
 
 def accumulate_busy_time(state: states.State) -> None:
-    """Count the slot time since it was last counted to the present window."""
+    """Add the slot time since the last update to the current window."""
     backend = state.backend
     elapsed = state.now - backend.running_since
     backend.windows[-1].busy_ms += elapsed * backend.running
--- a/src/gingerturn/internal/core/allowance.py
+++ b/src/gingerturn/internal/core/allowance.py
@@ -1,9 +1,9 @@
-"""The retry allowance: a token that is never copied, and a budget a service.
+"""Retry allowance of a request, in tokens, and retry budget of a service.
 
-A root call holds as many tokens as its kind allows extra attempts. An attempt
-takes a part of them along, from which its children draw; what they did not
-spend comes back with the answer, and what is not heard of counts as spent. So
-for any tree and any loss of messages::
+A root call holds as many tokens as its kind allows extra attempts. Each attempt
+carries a part of them, which its child calls draw on. Unspent tokens return with the
+answer, and tokens that do not return count as spent. So for any tree and any loss of
+messages::
 
     attempts in the tree <= first attempts + tokens of the root
 
@@ -18,34 +18,31 @@
 from gingerturn.internal.core import rationing
 
 MAX_BUDGET = 10.0
-"""Cap of the budget: a burst of ten retries after a quiet time does no harm at
-the smallest declared upstream (20 slots), and more would arrive as one load."""
+"""Maximum balance of a budget, which bounds a burst of retries after a quiet time."""
 
 EARNED_SHARE = 0.5
-"""Part of the allowed ratio that each first attempt earns, where retries are bounded
+"""Part of the allowed ratio that each first attempt earns where retries are bounded
 over all nodes."""
 
 BURST_SHARE = 0.4
 """Part of the allowed ratio, of the first attempts of one window, that a node may save
-up for a burst. Together with what is earned it stays a tenth below the bound. Faults
-that turn calls away last some seconds, so what was saved carries more requests than
-what is earned meanwhile: worth in the model where 15, 25 and 50 % are turned away
-0.981, 0.841, 0.641 with 0.25; 0.992, 0.874, 0.652 with 0.4; no more with 0.6 earned and
-0.3 saved (0.982, 0.848, 0.643)."""
+up for a burst. With :data:`EARNED_SHARE` it stays a tenth below the bound. Faults that
+refuse calls last some seconds, in which a saved balance carries more requests than
+what is earned meanwhile."""
 
 WINDOW_MS = 10_000.0
-"""Where no bound over all nodes is set, first attempts are counted over 10 s."""
+"""Window of the count of first attempts where no bound over all nodes is set."""
 
 SLACK_SHARE = 0.4
-"""Share of the declared slack that the caps of all nodes' budgets add up to. A node
-may spend its cap twice within one window, when the window's start empties a budget
-that its end finds filled again."""
+"""Share of the declared slack that is divided among the budgets of all nodes. Below a
+half, since a node may spend a full budget twice in one window: at its start and, filled
+again, at its end."""
 
 
 class Bound(msgspec.Struct, frozen=True):
-    """A bound on the repeats of one service, summed over all nodes.
+    """Bound on the retries of one service, summed over all nodes.
 
-    In any window: repeats <= ratio x first attempts + slack.
+    In any window: retries <= ratio x first attempts + slack.
     """
 
     slack: float
@@ -54,15 +51,17 @@
 
 
 class Budget(msgspec.Struct):
-    """The retry budget of one service at one node.
+    """Retry budget of one service at one node.
 
-    Invariant: ``held <= most`` after each first attempt. It is below zero while calls
-    of repeated requests, which count as repeats too, have drawn more than there was.
+    Invariant: ``balance`` is at most the limit given to :func:`earn` after each first
+    attempt. It is negative while calls of repeated requests, which count as retries
+    too, have been charged more than there was.
 
-    :param recent: first attempts of about the last window, a rate.
-    :param share: what the last of them earned.
-    :param wants: the repeats that calls have wanted of late.
-    :param counted_at: when ``recent_attempts`` was last brought up to date.
+    :param balance: retries that may be made now.
+    :param recent_attempts: first attempts, decayed exponentially over the window.
+    :param counted_at: when ``recent_attempts`` was last updated.
+    :param earned_per_attempt: what the last first attempt earned.
+    :param demand: recent requests for a retry.
     """
 
     balance: float = MAX_BUDGET
@@ -73,7 +72,7 @@
 
 
 def record_first_attempt(budget: Budget, now: float, window_ms: float) -> None:
-    """Count a first attempt; earlier ones fade over the window."""
+    """Count a first attempt and decay the earlier ones over the window."""
     elapsed = max(0.0, now - budget.counted_at)
     budget.counted_at = now
     budget.recent_attempts = (
@@ -82,7 +81,10 @@
 
 
 def expected_supply(budget: Budget, duration: float, window_ms: float) -> float:
-    """Return the repeats that are held and will be earned in so many ms."""
+    """Return the retries available now or expected to be earned.
+
+    :param duration: how far ahead to look, in ms.
+    """
     return (
         budget.balance
         + budget.earned_per_attempt * budget.recent_attempts * duration / window_ms
@@ -90,24 +92,27 @@
 
 
 def balance_limit(budget: Budget, bound: Bound, *, nodes: int) -> float:
-    """Return the most that one of so many nodes may hold of a bound on them all."""
+    """Return the maximum balance of one node under a bound over all nodes."""
     part = bound.slack * SLACK_SHARE / max(1, nodes)
     return part + BURST_SHARE * bound.ratio * budget.recent_attempts
 
 
 def charge_forced_repeat(budget: Budget) -> None:
-    """Take out a repeat that is made in any case: a call of a repeated request."""
+    """Charge a call of a repeated request, which is made whatever the balance."""
     budget.balance -= 1.0
 
 
 def earn(budget: Budget, share: float, *, limit: float = MAX_BUDGET) -> None:
-    """Add what one first attempt earns."""
+    """Credit one first attempt.
+
+    :param limit: maximum balance.
+    """
     budget.earned_per_attempt = share
     budget.balance = min(limit, budget.balance + share)
 
 
 def spend(budget: Budget) -> bool:
-    """Take one retry out of the budget; return whether there was one."""
+    """Charge one retry; return whether the balance allowed it."""
     if budget.balance < 1.0:
         return False
     budget.balance -= 1.0
@@ -115,20 +120,23 @@
 
 
 def tokens_for_attempt(tokens: int) -> int:
-    """Return how many tokens an attempt takes along.
+    """Return how many tokens an attempt carries.
 
-    Half, rounded down: the sender keeps at least as many, so that a call that
-    fails whole can still be sent again by the one who knows the other upstreams.
+    Half, rounded down: the sender keeps at least as many, so that it can still retry
+    the whole call at another upstream.
     """
     return tokens // 2
 
 
 def tokens_for_child(tokens: int) -> int:
-    """Return how many tokens a child call takes: half, rounded up, since calls
-    of one parent mostly follow one another and give back what they leave."""
+    """Return how many tokens a child call carries.
+
+    Half, rounded up: calls of one parent are mostly sequential and return the tokens
+    that they do not spend.
+    """
     return (tokens + 1) // 2
 
 
 def returned_tokens(*, taken: int, reported: int) -> int:
-    """Return the tokens to put back; a peer cannot return more than it took."""
+    """Return the tokens to credit, at most as many as the attempt carried."""
     return max(0, min(taken, reported))
--- a/src/gingerturn/internal/core/level_control.py
+++ b/src/gingerturn/internal/core/level_control.py
@@ -1,6 +1,6 @@
-"""The shedding level of a home: raised by what it cannot carry, lowered by idle slots.
+"""Control of a home node's shedding level: raised by overload, lowered by idle slots.
 
-The level is what callers' nodes are told: calls of lower rank are not worth sending.
+Load reports carry the level to the nodes of callers, which refuse calls of lower rank.
 """
 
 import math
@@ -9,41 +9,43 @@
 from gingerturn.internal.core import admission, ranks, state as states
 
 WINDOW_MS = 100.0
-"""Length of a control window; some tens of calls at the sizes of today."""
+"""Length of a control window."""
 
 MAX_WINDOWS = 32
 MIN_WINDOWS = 8
 MIN_DISPATCHED = 40
-"""The level looks back on as many windows as handed over 40 calls, at least 8 and
-at most 32. Calls that run for seconds free few slots in a window; a level from 13
-calls jumped by a quarter of a band for no reason but chance."""
+"""The level is computed from the latest windows that together dispatched
+:data:`MIN_DISPATCHED` calls, within the two bounds of their number. Calls that run for
+seconds free few slots in a window, and a level computed from few calls is noisy."""
 
 OVERAGE = 1.05
-"""Admit 5 % more than was handed over, so that the queue never runs dry."""
+"""Arrivals to admit for each dispatched call; above 1 to keep the queue filled."""
 
 ROUTED_OVERAGE = 1.0
-"""On routes no more than that: where a tree calls a service several times in a row
-inside a timeout of less than a second, each 5 % too many wait in every one of the
-queues, and whole requests time out."""
+"""The same on routes, without an excess: a tree that calls a service several times in
+sequence would wait in the queue each time and exceed its timeout."""
 
 RAISE_GAIN = 0.25
 ONSET_GAIN = 0.75
 LOWER_GAIN = 0.04
 IDLE_GAIN = 0.8
 LARGE_IDLE_SHARE = 0.3
-"""The part of a correction made in one window. A root admitted now reaches the
-deepest service about a second, ten windows, later; larger gains correct the same
-error several times over and the level swings, which wastes work below."""
+"""Gains, the part of a correction made in one window. The onset gain applies where more
+calls were shed than dispatched; the idle gain adds to the gain of lowering for the idle
+share above :data:`LARGE_IDLE_SHARE`. A root admitted now reaches the deepest service
+about ten windows later, so larger gains correct the same error several times and the
+level oscillates."""
 
 IDLE_DEADBAND = 0.02
-"""Idle shares up to 2 % are noise of a few slots and move no level."""
+"""Idle share up to which the level is not lowered, since a few slots are noise."""
 
 MIN_DENSITY_SAMPLES = 3
-"""Fewer arrivals above the level tell no density; the step is then a fixed one."""
+"""Arrivals just above the level that an estimate of their density needs. With fewer,
+the step depends on the idle share alone."""
 
 
 def control(state: states.State, now: ids.Milliseconds, out: states.Effects) -> None:
-    """Close a control window and move the level."""
+    """Close a control window and adjust the level."""
     backend = state.backend
     if not backend.present:
         backend.level = ranks.LOWEST
@@ -66,31 +68,30 @@
 
 
 def _recent_windows(backend: states.Backend) -> list[states.Window]:
-    """Return the latest windows that tell enough."""
-    handed = 0
+    """Return the latest windows with enough dispatched calls."""
+    dispatched = 0
     count = 0
     for window in reversed(backend.windows):
-        handed += window.dispatched
+        dispatched += window.dispatched
         count += 1
-        if count >= MIN_WINDOWS and handed >= MIN_DISPATCHED:
+        if count >= MIN_WINDOWS and dispatched >= MIN_DISPATCHED:
             break
     return backend.windows[-count:]
 
 
 def _raised(backend: states.Backend, overage: float) -> ids.Rank:
-    """Return the level raised so far that a part of the excess ranks below it.
+    """Return the level that sheds a part of the excess arrivals.
 
-    By number of calls and not by distance in rank: half of all ranks belong to classes
-    that no kind here has, and the way through them took 1.5 s, in which every request
-    too many failed after its work.
+    The step counts calls and not distance in rank, so that ranks of classes without
+    calls do not delay it.
     """
     above: list[int] = []
-    handed = 0
+    dispatched = 0
     recent = _recent_windows(backend)
     for window in recent:
         above.extend(rank for rank in window.ranks if rank >= backend.level)
-        handed += window.dispatched
-    excess = len(above) - int(handed * overage) - 1
+        dispatched += window.dispatched
+    excess = len(above) - int(dispatched * overage) - 1
     if excess <= 0:
         return backend.level
     closed = backend.windows[-1]
@@ -111,23 +112,23 @@
 
 
 def _lowering_step(backend: states.Backend, idle: float) -> float:
-    """Return by how much to lower the level so as to fill the idle slots.
+    """Return by how much to lower the level to fill the idle slots.
 
-    Calls below the level do not arrive, so how many there are is taken from the
-    density of those just above it.
+    Calls below the level do not arrive, so their density is estimated from the arrivals
+    just above it.
     """
     band_end = (backend.level // ranks.BAND + 1) * ranks.BAND
     recent = _recent_windows(backend)
-    handed = sum(window.dispatched for window in recent)
-    near = sum(
+    dispatched = sum(window.dispatched for window in recent)
+    above = sum(
         1
         for window in recent
         for rank in window.ranks
         if backend.level <= rank < band_end
     )
-    if near < MIN_DENSITY_SAMPLES:
+    if above < MIN_DENSITY_SAMPLES:
         return ranks.BAND * max(1.0 / 16, idle)
-    density = near / (band_end - backend.level)
-    missing = handed * idle / max(0.2, 1.0 - idle)
+    density = above / (band_end - backend.level)
+    missing = dispatched * idle / max(0.2, 1.0 - idle)
     gain = LOWER_GAIN + IDLE_GAIN * max(0.0, idle - LARGE_IDLE_SHARE)
     return min(float(ranks.BAND), max(1.0, gain * missing / density))
--- a/src/gingerturn/internal/core/levels.py
+++ b/src/gingerturn/internal/core/levels.py
@@ -1,26 +1,21 @@
-"""What a node knows of the levels of services, and how old that is.
-
-A service's level is one piece of knowledge, renewed by an answer of any of its
-upstreams: an entry that spreads two requests a second over a hundred upstreams hears
-from each once in a minute, but from the service each half second. Kept by upstream,
-with the unheard taken for free, a fifth of the requests of an overloaded deployment of
-194 nodes fail after their work in place of being refused.
-
-Answers also carry the latest word on the service that sheds most on the way of the
-answered kind, with its age: from nodes that call that service to those that called
-them, and so on up the trees. Each node keeps the latest word of all, so it reaches the
-roots' entries by whichever answers come first and is not averaged anew at each hop.
-With 194 nodes and trees of four hops shedding reaches the roots 0.3 s after it begins;
-by means of means it takes over three seconds.
-
-A service's level is the median of what its upstreams told. The lowest would let in
-what only one upstream takes, and all of that would meet there. The mean follows the
-one that is slow or badly placed: deeper calls come to it whatever it tells, so its
-level climbs into the classes above, and one such among ten lifts the mean by a whole
-class.
-
-Invariant: ``ranked`` holds the levels of ``told``, which is ordered by when it was
-heard.
+"""Reported levels of services and their age.
+
+A node keeps one level per service, updated by the load report of any of its upstreams.
+An entry node that spreads few requests over many upstreams receives reports of a
+service often, but of each single upstream rarely.
+
+Load reports also carry the latest level of the bottleneck service of the answered kind,
+with its age, from the nodes that call that service up the trees. Each node keeps the
+latest one, so it reaches the entry nodes with the first answers and is not averaged at
+each hop.
+
+A service's level is the median of the latest reports of its upstreams. The lowest would
+admit what a single upstream accepts, and all of it would be sent there. The mean would
+follow a single slow upstream, whose level rises by classes since calls below the root
+reach it whatever it reports.
+
+Invariant: ``sorted_levels`` holds the levels of ``by_upstream``, which is ordered by
+the time of the report.
 """
 
 import bisect
@@ -29,32 +24,31 @@
 from gingerturn.internal.core import messages, ranks, state as states
 
 FRESH_MS = 1_000.0
-"""A level counts as told for this long. While a deep service is slow a node hears
-from each of its upstreams only some times a second; with 300 ms the level faded
-between two answers and let in roots that were shed below."""
+"""Age up to which a reported level is used as it is. Long enough that levels do not
+decay between two answers of a slow service."""
 
 DECAY_STEP_MS = 100.0
 DECAY_FIRST_STEP = ranks.BAND // 64
-"""Without news a level falls by 1/64 of a band, then twice that, each 100 ms: the
-first steps let few calls through to ask, and after about a second any level is
-gone, so that a silent upstream is never avoided for long."""
+"""Without reports a level falls by 1/64 of a band and by twice as much in each further
+step. The first steps admit only few calls, which return new reports, and the level of
+an upstream without reports decays to zero."""
 
 DECAY_MAX_STEPS = 16
 
 AGE_BOUNDS_MS = (50.0, 100.0, 200.0, 500.0, 1_000.0)
-"""Bounds of the histogram of ages. Words of over half a second make the level swing,
-past a second they fade."""
+"""Bucket bounds of the histogram of ages. Reports older than half a second make the
+level oscillate, and those past :data:`FRESH_MS` decay."""
 
 _OWN_LEVEL = ""
-"""In place of a kind: what upstreams shed themselves, whichever kind they answered."""
+"""Key in place of a kind: the levels of the upstreams themselves, for every kind."""
 
 
 def decayed(reported: states.ReportedLevel, now: ids.Milliseconds) -> ids.Rank:
-    """Return what a level heard some time ago counts for now."""
-    silence = now - reported.reported_at - FRESH_MS
-    if silence <= 0 or reported.level <= 0:
+    """Return a reported level, decayed by its age."""
+    overdue = now - reported.reported_at - FRESH_MS
+    if overdue <= 0 or reported.level <= 0:
         return reported.level
-    steps = min(DECAY_MAX_STEPS, int(silence / DECAY_STEP_MS) + 1)
+    steps = min(DECAY_MAX_STEPS, int(overdue / DECAY_STEP_MS) + 1)
     return ids.Rank(max(0, reported.level - DECAY_FIRST_STEP * ((1 << steps) - 1)))
 
 
@@ -65,7 +59,10 @@
     kind: str,
     report: messages.LoadReport,
 ) -> None:
-    """Take in what an upstream of a service told with its answer to a kind."""
+    """Record the load report of an upstream of a service.
+
+    :param kind: of the answered call; empty if the report came without one.
+    """
     _record(service_level_of(state, service, _OWN_LEVEL), node, report.level, state.now)
     if kind:
         _record(
@@ -76,49 +73,56 @@
 
 
 def _record_relayed(state: states.State, report: messages.LoadReport) -> None:
-    """Keep the word that a node passed on, if it is the latest."""
-    told = state.now - max(0.0, report.bottleneck_age_ms)
+    """Record the bottleneck level that a node relayed, if it is the latest."""
+    reported_at = state.now - max(0.0, report.bottleneck_age_ms)
     known = state.relayed_levels.get(report.bottleneck)
-    if known is None or told > known.reported_at:
-        word = states.ReportedLevel(level=report.bottleneck_level, reported_at=told)
-        state.relayed_levels[report.bottleneck] = word
+    if known is None or reported_at > known.reported_at:
+        relayed = states.ReportedLevel(
+            level=report.bottleneck_level, reported_at=reported_at
+        )
+        state.relayed_levels[report.bottleneck] = relayed
 
 
 def own_level(state: states.State, service: ids.ServiceName) -> states.ReportedLevel:
-    """Return the rank below which the upstreams of a service shed, as a whole."""
+    """Return the rank below which the service itself sheds calls."""
     return _service_median(state, service, _OWN_LEVEL)
 
 
 def child_level(
     state: states.State, service: ids.ServiceName, kind: str
 ) -> states.ReportedLevel:
-    """Return the rank below which calls that a kind goes on to are shed.
+    """Return the rank below which calls made for a kind are shed.
 
-    The word on the service that sheds most on its way, or while there is none what its
-    homes told.
+    It is the level of the kind's bottleneck service while that is fresh, otherwise the
+    median of the reports of the service's home nodes.
     """
     cost = state.costs.reported.get(kind)
     if cost is not None and cost.service != service:
-        word = latest_report(state, cost.service)
-        if state.now - word.reported_at <= FRESH_MS:
-            return word
+        bottleneck = latest_report(state, cost.service)
+        if state.now - bottleneck.reported_at <= FRESH_MS:
+            return bottleneck
     return _service_median(state, service, kind)
 
 
 def record_age(state: states.State, known: states.ReportedLevel) -> None:
-    """Count how old the word is that decides on a whole request; in the last place
-    those of which nothing was ever told."""
-    place = len(AGE_BOUNDS_MS) + 1
+    """Count the age of the level that decides on a whole request.
+
+    The last bucket counts the decisions without any report.
+    """
+    bucket = len(AGE_BOUNDS_MS) + 1
     if known.reported_at:
-        place = bisect.bisect_left(AGE_BOUNDS_MS, state.now - known.reported_at)
-    state.level_age_counts[place] += 1
+        bucket = bisect.bisect_left(AGE_BOUNDS_MS, state.now - known.reported_at)
+    state.level_age_counts[bucket] += 1
 
 
 def latest_report(
     state: states.State, service: ids.ServiceName
 ) -> states.ReportedLevel:
-    """Return the latest word on a service: of this node where it is a home of it, from
-    its upstreams, or from nodes that call it."""
+    """Return the latest level of a service.
+
+    It is that of this node if its backend server offers the service, otherwise the
+    latest one of those reported by upstreams and those relayed by nodes that call it.
+    """
     if service == state.backend.service and state.backend.present:
         return states.ReportedLevel(level=state.backend.level, reported_at=state.now)
     direct = own_level(state, service)
@@ -133,15 +137,15 @@
 def expected_level(
     state: states.State, service: ids.ServiceName, kind: str
 ) -> states.ReportedLevel:
-    """Return the rank from which a service as a whole is expected to take calls of a
-    kind, the services below it included."""
-    here = own_level(state, service)
-    deeper = child_level(state, service, kind)
-    return here if here.level > deeper.level else deeper
+    """Return the rank from which calls of a kind are expected to be admitted, by the
+    service and by the services that it calls."""
+    own = own_level(state, service)
+    child = child_level(state, service, kind)
+    return own if own.level > child.level else child
 
 
 def lowest_reported(state: states.State, service: ids.ServiceName) -> ids.Rank:
-    """Return the least level that an upstream of a service told of late."""
+    """Return the lowest level in the recent reports of a service's upstreams."""
     known = state.levels.get((service, _OWN_LEVEL))
     if known is None:
         return ranks.LOWEST
@@ -152,7 +156,7 @@
 def service_level_of(
     state: states.State, service: ids.ServiceName, kind: str
 ) -> states.ServiceLevel:
-    """Return what is kept of a service's level; starts afresh for an unknown one."""
+    """Return the level kept for a service and kind, creating it if there is none."""
     known = state.levels.get((service, kind))
     if known is None:
         known = state.levels[(service, kind)] = states.ServiceLevel(
@@ -167,10 +171,10 @@
     level: ids.Rank,
     now: ids.Milliseconds,
 ) -> None:
-    told = known.by_upstream
-    if node in told:
+    reports = known.by_upstream
+    if node in reports:
         _drop(known, node)
-    told[node] = states.ReportedLevel(level=level, reported_at=now)
+    reports[node] = states.ReportedLevel(level=level, reported_at=now)
     bisect.insort(known.sorted_levels, level)
     _drop_expired(known, now)
     known.level = _lower_median(known.sorted_levels)
@@ -198,11 +202,11 @@
 
 
 def _drop_expired(known: states.ServiceLevel, now: ids.Milliseconds) -> None:
-    """Drop what upstreams told too long ago; the last median stays, to fade."""
-    told = known.by_upstream
-    while told:
-        node = next(iter(told))
-        if now - told[node].reported_at <= FRESH_MS:
+    """Drop the reports that are no longer fresh; the last median stays, and decays."""
+    reports = known.by_upstream
+    while reports:
+        node = next(iter(reports))
+        if now - reports[node].reported_at <= FRESH_MS:
             return
         _drop(known, node)
 
--- a/src/gingerturn/internal/core/ranks.py
+++ b/src/gingerturn/internal/core/ranks.py
@@ -1,17 +1,17 @@
-"""The shedding order: one integer that every hop compares the same way.
+"""Ranks: the order in which calls are shed, the same at every hop.
 
-From the highest bits down a rank holds the importance class (3 bits), whether
-the call is deeper than a root (1 bit) and 16 bits of the root's hash. So a
-higher class always goes first; inside a class a call on whose behalf work was
-already done goes before a new root; and the hash gives every hop the same order
-among equals, so that all hops shed the same roots.
+From the highest bits down a rank holds the importance class (3 bits), whether the call
+is below a root (1 bit) and 16 bits of the root's hash. So a higher class always goes
+first; within a class, a call of a request that has already done work goes before a new
+root; and the hash orders the rest in the same way at every hop, so that all hops shed
+the same roots.
 """
 
 from gingerturn.internal import ids
 
 HASH_BITS = 16
 BAND = 1 << HASH_BITS
-"""Width of one band: one class at one depth bit. Steps of levels are parts of it."""
+"""Number of ranks in one band, which is one class at one depth bit."""
 
 DEEP_BIT = BAND
 CLASS_SHIFT = HASH_BITS + 1
@@ -31,17 +31,17 @@
 
 
 def deep_rank(rank: ids.Rank) -> ids.Rank:
-    """Return the rank that the children of a call will have."""
+    """Return the rank of the child calls of a call."""
     return ids.Rank(rank | DEEP_BIT)
 
 
 def is_deep(rank: ids.Rank) -> bool:
-    """Tell whether a call is deeper than a root."""
+    """Whether a call is below a root."""
     return bool(rank & DEEP_BIT)
 
 
 def describe(rank: int) -> str:
-    """Return a rank in an operator's words."""
+    """Return a rank as text for operators."""
     importance = rank >> CLASS_SHIFT
     depth = "deeper call" if rank & DEEP_BIT else "root"
     return f"class {importance}, {depth}, order {rank & (BAND - 1)} of {BAND}"
--- a/src/gingerturn/internal/core/rationing.py
+++ b/src/gingerturn/internal/core/rationing.py
@@ -1,11 +1,10 @@
-"""Which calls may draw on a retry budget that is short.
-
-A request that ends in many calls in a row needs a repeat for nearly each of them where
-upstreams turn away a good part of what comes. Spent in the order in which calls come,
-a short budget goes to requests that fail at the next call. So the calls that want a
-repeat are ordered by rank, which every hop of a request knows, and the budget goes to
-as many from the top as it can carry: a request that is carried at one call is carried
-at all of them.
+"""Rationing of a retry budget that does not cover the demand.
+
+Where upstreams refuse a large part of the calls, a request of many sequential calls
+needs a retry for several of them. Spent in the order of arrival, a short budget goes to
+requests that fail at a later call. So the budget goes to the calls of the highest rank,
+which is the same at every hop of a request: a request that may retry one call may
+retry the others too.
 """
 
 import math
@@ -16,28 +15,26 @@
 from gingerturn.internal.core import ranks
 
 HORIZON_MS = 500.0
-"""The budget of this span is divided: what is held now and what will be earned. With
-1,000 and 2,000 ms a part of it stayed unspent. Worth in the model, mean of three seeds,
-upstreams that turn away 15 % and 25 % of what comes, then 25 % from a later moment on:
-0.974, 0.809, 0.844 with 500 ms; 0.962, 0.782, 0.834 with 2,000 ms; 0.944, 0.784, 0.812
-with no rationing. At 50 % nothing moves it (0.641, 0.642, 0.636)."""
+"""How far ahead supply and demand are compared: the balance and what will be earned
+within this time. With longer horizons a part of the budget remains unspent."""
 
 DEMAND_WINDOW_MS = 1_000.0
-"""What was wanted in this span tells what will be wanted."""
+"""Time span of the past demand that the expected demand is computed from."""
 
 MAX_SAMPLES = 512
-"""Wants looked back on, a bound on memory and on the work of sorting them."""
+"""Maximum number of samples, to bound memory and the time to sort them."""
 
 RECOMPUTE_INTERVAL_MS = 50.0
-"""The cut is worked out anew after this time: sorting for each want would cost more
-than the call."""
+"""How long a minimum rank is used before it is computed again, since sorting the
+samples for each retry would cost more than the call."""
 
 
 class RetryDemand(msgspec.Struct):
-    """The repeats of one service that calls of this node have wanted of late.
+    """Recent demand for retries to one service at this node.
 
-    :param seen: (time, rank) of each, in the order of time.
-    :param cut: calls that rank below it get no repeat.
+    :param samples: (time, rank) of each call that needed a retry, in order of time.
+    :param min_rank: calls of lower rank get no retry.
+    :param computed_at: when ``min_rank`` was computed.
     """
 
     samples: list[tuple[ids.Milliseconds, ids.Rank]] = []
@@ -46,16 +43,16 @@
 
 
 def record_demand(demand: RetryDemand, rank: ids.Rank, now: ids.Milliseconds) -> None:
-    """Count a call that wants a repeat."""
+    """Record a call that needs a retry."""
     demand.samples.append((now, rank))
     if len(demand.samples) > 2 * MAX_SAMPLES:
         del demand.samples[:-MAX_SAMPLES]
 
 
 def minimum_rank(demand: RetryDemand, supply: float, now: ids.Milliseconds) -> ids.Rank:
-    """Return the rank from which calls may be repeated.
+    """Return the rank from which calls may be retried.
 
-    :param supply: repeats that the budget allows within :data:`HORIZON_MS`.
+    :param supply: retries that the budget allows within :data:`HORIZON_MS`.
     """
     if now - demand.computed_at < RECOMPUTE_INTERVAL_MS:
         return demand.min_rank
@@ -74,11 +71,11 @@
     span = DEMAND_WINDOW_MS
     if len(recent) == MAX_SAMPLES:
         span = max(1.0, now - recent[0][0])
-    demand = len(recent) * HORIZON_MS / span
-    if demand <= supply:
+    expected = len(recent) * HORIZON_MS / span
+    if expected <= supply:
         return ranks.LOWEST
     ordered = sorted(rank for _, rank in recent)
-    carried = int(len(ordered) * max(0.0, supply) / demand)
-    if carried == 0:
+    covered = int(len(ordered) * max(0.0, supply) / expected)
+    if covered == 0:
         return ids.Rank(ordered[-1] + 1)
-    return ordered[-carried]
+    return ordered[-covered]
--- a/src/gingerturn/internal/core/refusals.py
+++ b/src/gingerturn/internal/core/refusals.py
@@ -1,4 +1,4 @@
-"""How a call ends without an answer: what its caller is told, and what is kept."""
+"""Refusals: the problem sent to the caller, and the decision recorded and logged."""
 
 from gingerturn.internal.core import (
     cap_buckets,
@@ -29,7 +29,7 @@
     decisions.Rule.OVER_CAP: 429,
 }
 _DEFAULT_DELAY_MS = 1_000.0
-"""After one to two seconds where nothing better is known."""
+"""Retry delay before jitter where no other is known."""
 
 _FINAL_RULES = frozenset(
     {
@@ -43,7 +43,10 @@
 
 
 def finish(state: states.State, call: states.Call, *, failed: bool = False) -> None:
-    """Forget a call; its parent gets its tokens back and learns of a failure."""
+    """Remove a call, returning its tokens to its parent and recording a failure there.
+
+    On routes no tokens are returned.
+    """
     state.calls.pop(call.id, None)
     if call.parent is None:
         return
@@ -64,7 +67,7 @@
     upstream: str = "",
     status: int = 0,
 ) -> str:
-    """Keep a decision, let it be logged, and return its id."""
+    """Record and log a decision; return its id."""
     decision = state.decisions.record(
         rule,
         now=state.now,
@@ -102,11 +105,15 @@
     retry_after: float = 0.0,
     figures: tuple[float, ...] = (),
 ) -> None:
-    """Answer a call with a problem, at once, and forget it."""
-    certain = call.never_ran and call.attempts_settled
-    outcome = messages.Outcome.NOT_RUN if certain else messages.Outcome.UNKNOWN
+    """Answer a call with a problem and remove it.
+
+    :param remote: refusal received from the home node.
+    :param retry_after: retry delay in ms; 0 to derive it.
+    """
+    known_not_run = call.never_ran and call.attempts_settled
+    outcome = messages.Outcome.NOT_RUN if known_not_run else messages.Outcome.UNKNOWN
     if call.holder and remote is not None:
-        # The holder of a ticket alone may run it, so its word is the whole truth.
+        # Only the holder of a ticket may run the call, so its outcome is final.
         outcome = remote.outcome
     if rule is decisions.Rule.ALREADY_RUN:
         outcome = messages.Outcome.ALREADY_RUN
@@ -117,27 +124,29 @@
     if status == 429 and not not_run:
         status = 502
     if not_run and call.took_cap_token:
-        # Another request of the workspace may have what this one did not use.
+        # The token was not used and is available to the workspace again.
         cap_buckets.return_token(state, call.workspace)
     upstream = call.tried_upstreams[-1] if call.tried_upstreams else ""
-    own = decide(state, call, rule, out, figures, upstream=upstream, status=status)
-    # Where a home node refused, its decision tells more than that it did.
-    decision = (remote.decision if remote else "") or own
-    wait = retry_after or (remote.retry_after_ms if remote else 0.0)
-    soon = rule in _SHED_RULES or (
+    own_decision = decide(
+        state, call, rule, out, figures, upstream=upstream, status=status
+    )
+    # The decision of a home node that refused has the cause of the refusal.
+    decision = (remote.decision if remote else "") or own_decision
+    delay_ms = retry_after or (remote.retry_after_ms if remote else 0.0)
+    is_overload = rule in _SHED_RULES or (
         rule is decisions.Rule.NO_UPSTREAM and startup_waits.is_starting_up(state)
     )
-    if soon and call.rule.target_ms:
-        wait = retry_delay.for_call(state, call)
-    if not wait and rule not in _FINAL_RULES:
-        wait = _DEFAULT_DELAY_MS * (1.0 + state.random.random())
+    if is_overload and call.rule.target_ms:
+        delay_ms = retry_delay.for_call(state, call)
+    if not delay_ms and rule not in _FINAL_RULES:
+        delay_ms = _DEFAULT_DELAY_MS * (1.0 + state.random.random())
     out.append(
         effects.RefuseCall(
             call=call.id,
             status=status,
             outcome=outcome,
             title=rule.name.lower().replace("_", " "),
-            retry_after_ms=wait,
+            retry_after_ms=delay_ms,
             decision=decision,
         )
     )
--- a/src/gingerturn/internal/core/retry_delay.py
+++ b/src/gingerturn/internal/core/retry_delay.py
@@ -1,42 +1,40 @@
-"""When a refused caller should come back.
+"""Retry delay of refused calls (Retry-After).
 
-A caller is best served by the earliest moment at which there will be room, and by no
-moment at which an answer is of no use any more. Where the level is falling, its slope
-tells when it passes the caller's rank. Where it is not, nobody knows when the overload
-ends: the caller is then asked to come back as late as it can still be answered within
-the latency target, by what such requests take at present.
+Where the level of the service is falling, its slope gives the time until it passes the
+rank of the call. Otherwise the end of the overload is not predictable, and the delay is
+the longest after which the call can still be answered within its latency target, by
+the current answer time of its kind.
 """
 
 from gingerturn.internal import ids
 from gingerturn.internal.core import routing, state as states
 
 MIN_DELAY_MS = 100.0
-"""Nobody is sent back sooner than answers with new levels come."""
+"""Minimum delay, within which new levels are usually not reported yet."""
 
 SLOPE_INTERVAL_MS = 300.0
-"""Between the two levels that tell a slope: some three control windows, so that one
-window's noise is no trend."""
+"""Minimum time between the two levels that a slope is computed from: three control
+windows, so that the noise of one window is no trend."""
 
 JITTER = 0.25
-"""Callers refused at one moment come back over a quarter of their wait: as one burst
-they would only be refused again."""
+"""Share of the delay over which callers are spread, so that those refused at the same
+time do not return as one burst."""
 
 DEFAULT_DELAY_MS = 1_000.0
-"""Where nothing tells when: after one to one and a quarter seconds, as long as a level
-takes to fall by one band when demand ends."""
+"""Delay before jitter where there is neither a slope nor time left within the target.
+Once demand ends, a level falls by one band in about this time."""
 
 ANSWER_TIME_MARGIN = 1.5
-"""Times the mean time of answers that is left for the next one. Of a log-normal with a
-sigma of 0.8, as the work of the users' kinds has, four in five take less."""
+"""Multiple of the mean answer time to reserve for the retried request."""
 
 ANSWER_TIME_WEIGHT = 0.05
-"""Of one answer in the mean time, over some twenty."""
+"""Weight of one answer in the moving average of answer times."""
 
 
 def record_answer_time(
     state: states.State, kind: str, elapsed: ids.Milliseconds
 ) -> None:
-    """Take in how long a whole request took from its arrival to its answer."""
+    """Record the time of a whole request from its arrival to its answer."""
     known = state.mean_answer_ms.get(kind)
     if known is None:
         state.mean_answer_ms[kind] = elapsed
@@ -45,31 +43,34 @@
 
 
 def for_call(state: states.State, call: states.Call) -> ids.Milliseconds:
-    """Return in how many ms a caller whose call is refused should come back."""
+    """Return the retry delay of a refused call."""
     latest = _latest_useful_delay(state, call)
-    room = _delay_until_admitted(state, call)
-    if room is None:
-        wait = DEFAULT_DELAY_MS if latest is None else latest * (1.0 - JITTER)
+    admitted_in = _delay_until_admitted(state, call)
+    if admitted_in is None:
+        delay = DEFAULT_DELAY_MS if latest is None else latest * (1.0 - JITTER)
     else:
-        wait = room if latest is None else min(room, latest * (1.0 - JITTER))
-    wait = max(MIN_DELAY_MS, wait)
-    return wait * (1.0 + JITTER * state.random.random())
+        delay = (
+            admitted_in if latest is None else min(admitted_in, latest * (1.0 - JITTER))
+        )
+    delay = max(MIN_DELAY_MS, delay)
+    return delay * (1.0 + JITTER * state.random.random())
 
 
 def _latest_useful_delay(
     state: states.State, call: states.Call
 ) -> ids.Milliseconds | None:
-    """Return in how many ms it may come at the latest to be answered on target."""
-    usual = ANSWER_TIME_MARGIN * state.mean_answer_ms.get(call.rule.name, 0.0)
-    latest = call.arrived_at + call.rule.target_ms - usual - state.now
+    """Return the longest delay after which a call can be answered within its target, or
+    ``None`` if no time is left."""
+    expected = ANSWER_TIME_MARGIN * state.mean_answer_ms.get(call.rule.name, 0.0)
+    latest = call.arrived_at + call.rule.target_ms - expected - state.now
     return latest if latest > MIN_DELAY_MS else None
 
 
 def _delay_until_admitted(
     state: states.State, call: states.Call
 ) -> ids.Milliseconds | None:
-    """Return in how many ms the level will have fallen to the rank of a call, where it
-    is falling."""
+    """Return the time until the level falls to the rank of a call, or ``None`` if it is
+    not falling."""
     level = routing.service_level(state, call.service, call.rule.name)
     trend = state.trends.get(call.service)
     if trend is None or state.now - trend.updated_at > 2 * SLOPE_INTERVAL_MS:
--- a/src/gingerturn/internal/core/saturation.py
+++ b/src/gingerturn/internal/core/saturation.py
@@ -1,13 +1,10 @@
-"""Backend servers that slow down when they are nearly full: leave the last slots free.
+"""Detection of backend servers that slow down when nearly every slot is taken.
 
-Some serve fewer calls a second with every slot taken than with a few left free. One
-whose calls take 1.3 times as long then loses a quarter of what it can carry, just when
-it is short: in the model of 194 nodes under a burst worth 0.71 in place of 0.81.
-
-Calls that call nobody else are compared with those of their kind that were begun while
-there was room, which tells what a kind takes also after seconds of overload. Where the
-full ones take longer the last slots are left free for a trial: if calls do not become
-faster by it, something else made them slow, and the slots are used again.
+Some serve fewer calls a second with every slot taken than with a few left free. The
+times of calls started at high occupancy are compared with those of the same kind
+started at lower occupancy, which remain valid through an overload. Only calls without
+child calls are compared. Where calls take longer at high occupancy, the last slots are
+left free for a trial; if that makes calls no faster, they are used again.
 """
 
 import math
@@ -16,69 +13,72 @@
 from gingerturn.internal.core import state as states
 
 SATURATED_OCCUPANCY = 0.95
-"""Share of the slots from which a backend server counts as nearly full."""
+"""Occupancy from which a backend server counts as saturated."""
 
 UNSATURATED_OCCUPANCY = 0.85
-"""Up to this share it counts as having room; between the two nothing is compared."""
+"""Occupancy up to which it counts as unsaturated; calls started between the two are not
+compared."""
 
 MIN_SAMPLES = 40
-"""Calls of each sort before they are compared: the times of one kind vary by half of
-their mean, so the means of 40 differ by a tenth only now and then by chance."""
+"""Calls in each mean before they are compared, so that the comparison is not noise."""
 
 MIN_SLOWDOWN = 1.15
-"""A slowdown that outweighs the slots that are left free: with 5 % fewer slots the
-rate falls by 5 %, so anything above that gains; the rest is a margin for chance."""
+"""Relative slowdown from which leaving the last slots free is tried: the 5 % of the
+capacity that this costs, and a margin for noise."""
 
 MEAN_WEIGHT = 1.0 / MIN_SAMPLES
 TRIAL_MS = 30_000.0
-"""How long the slots are left free, or used again after a trial that changed nothing,
-before the comparison begins anew."""
+"""How long the slots are left free after a slowdown, and how long they are used after
+an unsuccessful trial before the next one."""
 
 
 def record_time(
     state: states.State, hosted: states.Hosted, elapsed: ids.Milliseconds
 ) -> None:
-    """Take in the time of a call that called nobody else."""
+    """Record the time of a finished call, unless calls of its kind make child calls."""
     kind = hosted.metadata.kind
     if state.child_kinds.get(kind):
         return
-    knee = state.backend.saturation
+    times = state.backend.saturation
     if hosted.occupancy <= UNSATURATED_OCCUPANCY:
-        _add(knee.unsaturated.setdefault(kind, states.Mean()), elapsed)
+        _add(times.unsaturated.setdefault(kind, states.Mean()), elapsed)
         return
-    usual = knee.unsaturated.get(kind)
-    if usual is None or usual.count < MIN_SAMPLES or usual.mean <= 0.0:
+    baseline = times.unsaturated.get(kind)
+    if baseline is None or baseline.count < MIN_SAMPLES or baseline.mean <= 0.0:
         return
-    relative = elapsed / usual.mean
-    if knee.limited_until and state.now >= knee.limited_until:
-        # What was compared before the trial says nothing of today.
-        knee.saturated = states.Mean()
-        knee.limited_until = 0.0
-    if state.now < knee.limited_until:
+    relative = elapsed / baseline.mean
+    if times.limited_until and state.now >= times.limited_until:
+        # The comparison from before the trial is out of date.
+        times.saturated = states.Mean()
+        times.limited_until = 0.0
+    if state.now < times.limited_until:
         _evaluate_trial(state, hosted, relative)
-    elif hosted.occupancy >= SATURATED_OCCUPANCY and state.now >= knee.next_trial_at:
-        _add(knee.saturated, relative)
-        if knee.saturated.count >= MIN_SAMPLES and knee.saturated.mean > MIN_SLOWDOWN:
-            knee.limited_until = state.now + TRIAL_MS
-            knee.limited = states.Mean()
+    elif hosted.occupancy >= SATURATED_OCCUPANCY and state.now >= times.next_trial_at:
+        _add(times.saturated, relative)
+        if times.saturated.count >= MIN_SAMPLES and times.saturated.mean > MIN_SLOWDOWN:
+            times.limited_until = state.now + TRIAL_MS
+            times.limited = states.Mean()
 
 
 def _evaluate_trial(
     state: states.State, hosted: states.Hosted, relative: float
 ) -> None:
-    """Use the last slots again if leaving them free makes no call faster."""
-    knee = state.backend.saturation
-    at_most = _limited_slots(state.backend) / max(1, state.backend.slots)
-    if hosted.started_at < knee.limited_until - TRIAL_MS or hosted.occupancy < at_most:
+    """End the trial if leaving the last slots free makes calls no faster."""
+    times = state.backend.saturation
+    threshold = _limited_slots(state.backend) / max(1, state.backend.slots)
+    if (
+        hosted.started_at < times.limited_until - TRIAL_MS
+        or hosted.occupancy < threshold
+    ):
         return
-    _add(knee.limited, relative)
+    _add(times.limited, relative)
     if (
-        knee.limited.count == MIN_SAMPLES
-        and knee.saturated.mean < MIN_SLOWDOWN * knee.limited.mean
+        times.limited.count == MIN_SAMPLES
+        and times.saturated.mean < MIN_SLOWDOWN * times.limited.mean
     ):
-        knee.limited_until = state.now
-        knee.next_trial_at = state.now + TRIAL_MS
-        knee.saturated = states.Mean()
+        times.limited_until = state.now
+        times.next_trial_at = state.now + TRIAL_MS
+        times.saturated = states.Mean()
 
 
 def _add(mean: states.Mean, value: float) -> None:
@@ -87,7 +87,7 @@
 
 
 def usable_slots(state: states.State) -> int:
-    """Return the slots that are worth using."""
+    """Return how many slots to use at most."""
     backend = state.backend
     if state.now >= backend.saturation.limited_until:
         return backend.slots
--- a/src/gingerturn/internal/core/tolerance.py
+++ b/src/gingerturn/internal/core/tolerance.py
@@ -1,4 +1,4 @@
-"""By how much operators let the cap of a workspace be passed."""
+"""Tolerance: by how much the usage of a workspace may exceed its cap."""
 
 import msgspec
 
@@ -7,10 +7,10 @@
 
 
 class Tolerance(msgspec.Struct, frozen=True, gc=False):
-    """What is allowed beyond a cap in each window.
+    """Allowed excess over a cap in each window.
 
-    :param over: a share of the cap.
-    :param slack: so many requests besides.
+    :param over: as a share of the cap.
+    :param slack: number of requests added to that share.
     """
 
     window_ms: ids.Milliseconds
@@ -18,10 +18,10 @@
     slack: float
 
     def allowed_excess(self, cap: routes.Workspace) -> float:
-        """Return by how many requests a cap may be passed in a window."""
+        """Return by how many requests a cap may be exceeded in a window."""
         allowed = cap.rate * self.window_ms / 1_000.0 + cap.burst
         return self.over * allowed + self.slack
 
 
 DEFAULT = Tolerance(window_ms=5_000.0, over=0.1, slack=20.0)
-"""Where the settings say nothing."""
+"""Tolerance where the settings have none."""
