--- a/tests/cover/test_decisions_under_load.py
+++ b/tests/cover/test_decisions_under_load.py
@@ -49,7 +49,7 @@
         _answer(state, first.attempt, status=503), effects.OpenAttempt
     )
     assert second.node != first.node
-    # Two tokens: one went along and was not heard of again, one was spent.
+    # Two tokens: the attempt carried one and did not return it, the retry spent one.
     assert state.calls[ids.CallId(1)].tokens == 0
     assert builders.only(_answer(state, second.attempt), effects.RelayAnswer).call == 1
 
@@ -104,7 +104,7 @@
 
 
 def run_key_at_two_homes() -> int:
-    """Send one key to two homes at the same moment; return how often it ran."""
+    """Send one key to two home nodes at the same time; return how often it ran."""
     made = small.new_world(seed=3)
     truth = small.Truth(made)
     key = small.key_of(made, 1)
@@ -165,7 +165,7 @@
     assert builders.only(out, effects.DispatchCall).hosted == 1
     assert not builders.all_of(out, effects.Append)
     out = reducer.reduce(state, builders.opened(2, _ticket_terms()))
-    # Nothing happens but the line that tells that it waits for the first.
+    # The only effect is the log line that it waits for the first call.
     assert [type(effect) for effect in out] == [effects.LogDecision]
     done = events.BackendAnswered(now=state.now, hosted=ids.HostedId(1), status=200)
     out = reducer.reduce(state, done)
@@ -194,8 +194,7 @@
 
 
 def test_a_deeper_call_that_finds_a_free_slot_is_tried_with_less_time() -> None:
-    # Number ports failed on a quiet day since calls which they made late were refused,
-    # with nine slots of ten free.
+    # Refusing it although slots are free would fail the request that it belongs to.
     state = routed.node_state(service="plans", slots=1)
     state.backend.times["plan-status"] = states.ServiceTime(
         mean_ms=400.0, measured_at=builders.START
@@ -203,7 +202,7 @@
     late = builders.call_terms(depth=1, deadline_ms=300.0)
     out = reducer.reduce(state, builders.opened(1, late))
     assert builders.only(out, effects.DispatchCall).hosted == 1
-    # With no slot free it would take the time of others.
+    # Without a free slot it would delay other calls.
     out = reducer.reduce(state, builders.opened(2, late))
     rule = builders.only(out, effects.SendRefusal).refusal.rule
     assert rule == decisions.Rule.NOT_IN_TIME
@@ -219,8 +218,8 @@
 
 
 def _second_of_two(*, calls_others: bool) -> int:
-    """Return which goes next: 2, a deeper call, or 3, a root of the same class that
-    goes before it by its hash."""
+    """Return which call is dispatched next: 2, a deeper call, or 3, a root of the same
+    class with the higher hash."""
     state = routed.node_state(service="plans", slots=1)
     if calls_others:
         state.child_kinds["sim-view"] = {("porting", "lookup"): builders.START}
@@ -237,8 +236,8 @@
 
 
 def test_a_root_that_calls_nobody_does_not_wait_behind_all_deeper_calls() -> None:
-    # Where the service that trees end at was full, its own callers came after every
-    # call of a tree: 17 in 100 were served while others had 31 and 82.
+    # Otherwise an overloaded service at the leaves of trees would serve hardly any of
+    # its own roots.
     assert _second_of_two(calls_others=False) == 3
 
 
@@ -277,11 +276,12 @@
 
 def test_a_child_of_a_shed_service_does_not_cut_the_parents_limit() -> None:
     state = builders.node_state("p1", service="plans", slots=10)
-    handed = builders.only(
+    dispatched = builders.only(
         reducer.reduce(state, builders.opened(1)), effects.DispatchCall
     )
     reducer.reduce(
-        state, builders.arrived(7, service="porting", span=handed.span, now=state.now)
+        state,
+        builders.arrived(7, service="porting", span=dispatched.span, now=state.now),
     )
     answer = events.BackendAnswered(now=state.now, hosted=ids.HostedId(1), status=503)
     reducer.reduce(state, answer)
@@ -342,22 +342,22 @@
     later = state.now + routing.ASK_AFTER_MS + 1
     out = reducer.reduce(state, builders.arrived(1, now=later))
     assert builders.only(out, effects.RequestLevel).node == "p1"
-    told = events.LevelReported(
+    reported = events.LevelReported(
         now=later + 1,
         node=ids.NodeId("p1"),
         kind=ids.KindName("plan-status"),
         report=builders.report(),
     )
-    reducer.reduce(state, told)
+    reducer.reduce(state, reported)
     again = reducer.reduce(state, builders.arrived(2, now=later + 2))
     assert builders.all_of(again, effects.OpenAttempt)
 
 
 def test_a_level_without_reports_decays() -> None:
-    heard = states.ReportedLevel(level=ranks.HIGHEST, reported_at=builders.START)
+    reported = states.ReportedLevel(level=ranks.HIGHEST, reported_at=builders.START)
     soon = builders.START + levels.FRESH_MS
-    assert levels.decayed(heard, soon) == ranks.HIGHEST
-    assert levels.decayed(heard, soon + 3_000) == ranks.LOWEST
+    assert levels.decayed(reported, soon) == ranks.HIGHEST
+    assert levels.decayed(reported, soon + 3_000) == ranks.LOWEST
 
 
 def test_calls_stay_in_the_zone_until_it_is_busier() -> None:
@@ -372,7 +372,7 @@
         ]
         return chosen.count(ids.NodeId("p1")) / len(chosen)
 
-    # Of two random draws one is the near node three times in four.
+    # One of two random draws is the node in the same zone in three of four cases.
     assert share_near() > 0.7
     busy = builders.report(load=9, limit=10)
     routing.on_load_report(state, ids.NodeId("p1"), "plan-status", busy)
@@ -394,7 +394,7 @@
         ]
         return sum(node in near for node in chosen) / len(chosen)
 
-    # Of two drawn anywhere one is near five times in nine.
+    # One of two draws over all zones is in the same zone in five of nine cases.
     assert share_near() > 0.9
     for node in near:
         busy = builders.report(load=9, limit=10)
@@ -417,37 +417,37 @@
 
 
 class _Tree:
-    """A tree of calls in which anything may fail or be lost, on bare reducers."""
+    """Tree of calls that may fail or be lost at random, without a network."""
 
     def __init__(self, seed: int, depth: int, allowance: int) -> None:
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.depth = depth
         self.allowance = allowance
         self.retries = 0
 
     def run(self) -> None:
-        """Play one whole request."""
+        """Run one whole request."""
         self._call(self.allowance, 0)
 
     def _call(self, tokens: int, depth: int) -> int:
-        """Play a call with its attempts; return the tokens that come back."""
+        """Run a call with its attempts; return the tokens that it returns."""
         state = _entry("p1", "p2", "p3", "p4")
         out = reducer.reduce(state, builders.arrived(1))
         call = state.calls[ids.CallId(1)]
         attempt = builders.only(out, effects.OpenAttempt)
-        # Put the call's tokens to what its parent gave it.
+        # Set the call's tokens to those that its parent passed to it.
         call.tokens = tokens - tokens // 2
         state.attempts[attempt.attempt].tokens = tokens // 2
         held = tokens // 2
         while True:
             left = self._home(held, depth)
-            fate = self.chance.random()
-            if fate < 0.3:
+            draw = self.rng.random()
+            if draw < 0.3:
                 event: events.Event = events.AttemptLost(
                     now=state.now, attempt=attempt.attempt, reached=True
                 )
             else:
-                status = 503 if fate < 0.7 else 200
+                status = 503 if draw < 0.7 else 200
                 event = builders.answered(
                     attempt.attempt, status=status, tokens=left, now=state.now
                 )
@@ -460,10 +460,10 @@
             held = attempt.metadata.tokens
 
     def _home(self, tokens: int, depth: int) -> int:
-        """Play a home node whose backend server makes up to two calls."""
+        """Run a home node whose backend server makes up to two calls."""
         if depth >= self.depth:
             return tokens
-        for _ in range(self.chance.randint(0, 2)):
+        for _ in range(self.rng.randint(0, 2)):
             part = (tokens + 1) // 2
             tokens = tokens - part + self._call(part, depth + 1)
         return tokens
--- a/tests/cover/test_fail_safe.py
+++ b/tests/cover/test_fail_safe.py
@@ -1,4 +1,4 @@
-"""What a caller is told when something inside went wrong: never a false promise."""
+"""Outcomes after an internal error: never 'not run' for a call that may have run."""
 
 import pytest
 
@@ -18,9 +18,8 @@
 def test_a_failure_to_process_a_refusal_does_not_report_a_sent_call_as_not_run(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Seen with half-edited sources: taking in a home's refusal ended in an error after
-    # the attempt had been forgotten; at the deadline the caller was told 'not run' of
-    # a call that had run.
+    # An error after the attempt was removed must not make the call count as never sent
+    # when its deadline passes.
     state = routed.node_state(
         routed.route(kind=routes.RouteType.UNREPEATABLE, timeout_ms=800)
     )
@@ -41,9 +40,9 @@
             reducer.reduce(state, refusal)
     late = builders.START + 800 + calls.GRACE_MS + 10
     out = reducer.reduce(state, events.Tick(now=late))
-    told = builders.only(out, effects.RefuseCall)
-    assert told.outcome is messages.Outcome.UNKNOWN
-    assert told.status == 504
+    reported = builders.only(out, effects.RefuseCall)
+    assert reported.outcome is messages.Outcome.UNKNOWN
+    assert reported.status == 504
 
 
 def test_a_call_refused_unrun_by_its_home_is_reported_as_not_run() -> None:
@@ -53,6 +52,6 @@
     out = reducer.reduce(
         state, routed.refused(sent.attempt, rule=int(decisions.Rule.LEAVING))
     )
-    told = builders.only(out, effects.RefuseCall)
-    assert told.outcome is messages.Outcome.NOT_RUN
-    assert told.status == 503
+    reported = builders.only(out, effects.RefuseCall)
+    assert reported.outcome is messages.Outcome.NOT_RUN
+    assert reported.status == 503
--- a/tests/cover/test_levels_at_size.py
+++ b/tests/cover/test_levels_at_size.py
@@ -1,9 +1,8 @@
-"""Levels where a service has a hundred upstreams and an entry hears from few of them.
+"""Levels of a service with about a hundred upstreams, few of which report to each entry
+node.
 
-The pattern: 194 nodes, trees that all end in calls of the scarcest service four hops
-below the roots' entries, and demand at 1.3 times of what it can carry. An entry sends
-some two requests a second to 95 upstreams. With levels kept by upstream, a fifth of the
-requests of such a deployment failed after their work and one in fifty was refused.
+Guards against levels that are kept by upstream: an entry node then admits requests that
+are shed after their work, since most of its upstreams have not reported recently.
 """
 
 import pytest
@@ -27,9 +26,9 @@
 from tests.common import builders, routed
 
 PLANS = ids.ServiceName("plans")
-SCARCE = ids.ServiceName("provisioning")
-SETTLED_MS = 4_000.0
-"""By then what was admitted before the overload was known has ended."""
+BOTTLENECK = ids.ServiceName("provisioning")
+WARMUP_MS = 4_000.0
+"""Time after which requests admitted before the overload was detected have ended."""
 
 HIGH = ids.Rank(ranks.HIGHEST)
 
@@ -59,7 +58,7 @@
         state.now += 400.0
         _receive(state, number, builders.report(tree_level=HIGH))
     assert _refused(state, 1)
-    # Roots are refused by its own level too, wherever a draw falls.
+    # Roots are refused by its own level too, whichever upstream is drawn.
     state = _entry(upstreams)
     for number in range(3):
         _receive(state, number, builders.report(level=HIGH))
@@ -99,7 +98,7 @@
         tree_level=ranks.LOWEST,
         load=1,
         limit=10,
-        bottleneck=SCARCE,
+        bottleneck=BOTTLENECK,
         bottleneck_slot_ms=56.0,
         bottleneck_level=ids.Rank(level),
         bottleneck_age_ms=age_ms,
@@ -110,7 +109,7 @@
     state = _entry(95)
     _receive(state, 0, _bottleneck_report(HIGH, age_ms=20.0))
     assert _refused(state, 1)
-    # An older word that comes later by a slower way changes nothing.
+    # An older level that arrives later changes nothing.
     _receive(state, 1, _bottleneck_report(0, age_ms=300.0))
     assert _refused(state, 2)
     _receive(state, 2, _bottleneck_report(0, age_ms=10.0))
@@ -120,14 +119,14 @@
 def test_a_node_relays_the_bottleneck_level_with_its_age() -> None:
     state = routed.node_state(routed.route(), service="porting")
     builders.add_members(state, builders.member("u0", "plans"))
-    state.costs.reported["lookup"] = states.TreeCost(SCARCE, 56.0)
+    state.costs.reported["lookup"] = states.TreeCost(BOTTLENECK, 56.0)
     state.costs.fanouts["port"] = states.Fanout(
         1.0, {(PLANS, ids.KindName("lookup")): 1.0}
     )
     _receive(state, 0, _bottleneck_report(70_000, age_ms=50.0))
     state.now += 100.0
     report = admission.load_report(state, "port")
-    assert report.bottleneck == SCARCE
+    assert report.bottleneck == BOTTLENECK
     assert (report.bottleneck_level, report.bottleneck_age_ms) == (70_000, 150.0)
 
 
@@ -176,17 +175,17 @@
         )
     )
     reducer.reduce(state, builders.datagram(ids.NodeId("u1"), suspect, now=state.now))
-    asked: list[str] = []
+    checked: list[str] = []
     original = upstreams.is_unresponsive
 
     def is_unresponsive(state: states.State, node: ids.NodeId) -> bool:
-        asked.append(node)
+        checked.append(node)
         return original(state, node)
 
     monkeypatch.setattr(upstreams, "is_unresponsive", is_unresponsive)
     for _ in range(50):
         assert "u7" not in upstreams.candidates(state, PLANS)
-    assert len(asked) <= 2 * 400
+    assert len(checked) <= 2 * 400
     _receive(state, 7, builders.report())
     assert "u7" in upstreams.candidates(state, PLANS)
 
@@ -205,18 +204,18 @@
     def failed_after_work(nodes: int) -> float:
         run = sites.Run(deployments.large(nodes), seed=1, seconds=7.0)
         run.world.at(500.0, lambda: setattr(run, "demand", 1.95))
-        ends: list[str] = []
+        answers: list[str] = []
         on_end = run.world.on_root_end
 
         def count(root: object) -> None:
-            if run.world.now - began > SETTLED_MS:
-                ends.append(root.answer)  # type: ignore[attr-defined]
+            if run.world.now - began > WARMUP_MS:
+                answers.append(root.answer)  # type: ignore[attr-defined]
             on_end(root)  # type: ignore[arg-type]
 
         began = run.world.now
         run.world.on_root_end = count
         run.play()
-        return ends.count("status-500") / len(ends)
+        return answers.count("status-500") / len(answers)
 
     few, many = failed_after_work(10), failed_after_work(100)
     assert many < few + 0.03
--- a/tests/cover/test_retry_bound.py
+++ b/tests/cover/test_retry_bound.py
@@ -1,8 +1,8 @@
-"""The operators' bound on repeats, over every window of a load that comes and goes.
+"""The operators' bound on retries, in every window of a varying load.
 
-The pattern: load changes by sixty times within seconds while upstreams turn away none,
-a part or all of what comes. The bound counts the first attempts of the window, of the
-one before it, or of the one half a window before it, whichever has most.
+Load changes by a factor of up to sixty while upstreams refuse none, a part or all of
+the calls. The bound counts the first attempts of the window, of the one before it, or
+of the one half a window before it, whichever has most.
 """
 
 import bisect
@@ -21,11 +21,11 @@
 
 
 class Phase(typing.NamedTuple):
-    """Load for a while, and the share of it that upstreams turn away."""
+    """Load for a time, and the share of it that upstreams refuse."""
 
-    a_second: int
-    lasts_ms: float
-    turned_away: float
+    calls_per_second: int
+    duration_ms: float
+    refused_share: float
 
 
 def _within(times: list[float], begin: float, end: float) -> int:
@@ -33,7 +33,7 @@
 
 
 def _fullest_window(firsts: list[float], repeats: list[float], part: float) -> float:
-    """Return the most that any window has of what it may have."""
+    """Return the highest ratio, over all windows, of retries to allowed retries."""
     most = 0.0
     begin = builders.START
     while begin < firsts[-1]:
@@ -50,21 +50,21 @@
     return most
 
 
-def _drawn(seed: int) -> list[Phase]:
-    drawn = random.Random(seed)
+def _random_phases(seed: int) -> list[Phase]:
+    rng = random.Random(seed)
     return [
         Phase(
-            a_second=drawn.choice([5, 50, 300]),
-            lasts_ms=drawn.uniform(1_000.0, 14_000.0),
-            turned_away=drawn.choice([0.0, 0.0, 0.3, 0.6, 1.0]),
+            calls_per_second=rng.choice([5, 50, 300]),
+            duration_ms=rng.uniform(1_000.0, 14_000.0),
+            refused_share=rng.choice([0.0, 0.0, 0.3, 0.6, 1.0]),
         )
-        for _ in range(drawn.randint(2, 6))
+        for _ in range(rng.randint(2, 6))
     ]
 
 
 def _play(phases: list[Phase], *, others: int = 3) -> float:
-    """Play phases of load; return the most of its part that one node uses."""
-    drawn = random.Random(1)
+    """Play phases of load; return the highest used ratio of one node's part."""
+    rng = random.Random(1)
     bound = allowance.Bound(SLACK, RATIO, WINDOW_MS)
     state = routed.node_state(routed.route(max_attempts=4), retry_bound=bound)
     builders.add_members(
@@ -74,15 +74,15 @@
     repeats: list[float] = []
     now = builders.START
     for phase in phases:
-        end = now + phase.lasts_ms
+        end = now + phase.duration_ms
         while now < end:
-            now += drawn.expovariate(phase.a_second / 1000.0)
+            now += rng.expovariate(phase.calls_per_second / 1000.0)
             firsts.append(now)
             out = reducer.reduce(state, routed.arrived(len(firsts), now=now))
             opened = builders.all_of(out, effects.OpenAttempt)
             while opened:
                 attempt = opened[0].attempt
-                if drawn.random() >= phase.turned_away:
+                if rng.random() >= phase.refused_share:
                     reducer.reduce(state, builders.answered(attempt, now=now))
                     break
                 refusal = routed.refused(
@@ -99,18 +99,18 @@
     return _fullest_window(firsts, repeats, SLACK / (others + 1))
 
 
-SAVED_UP_THEN_SPENT = [Phase(300, 12_000.0, 0.0), Phase(300, 10_000.0, 1.0)]
+SAVED_THEN_SPENT = [Phase(300, 12_000.0, 0.0), Phase(300, 10_000.0, 1.0)]
 
 
 @pytest.mark.parametrize("others", [1, 14])
 @pytest.mark.parametrize("seed", range(6))
 def test_no_window_has_more_repeats_than_a_nodes_part(seed: int, others: int) -> None:
-    assert _play(_drawn(seed), others=others) <= 1.0
+    assert _play(_random_phases(seed), others=others) <= 1.0
 
 
 def test_what_was_saved_up_is_spent_within_the_bound() -> None:
-    # Most of it: what is left unused are repeats that requests might have had.
-    assert 0.7 < _play(SAVED_UP_THEN_SPENT) <= 1.0
+    # A low value would mean that a part of the allowed retries remains unused.
+    assert 0.7 < _play(SAVED_THEN_SPENT) <= 1.0
 
 
 def test_the_bound_check_fails_with_full_earned_and_burst_shares(
@@ -118,4 +118,4 @@
 ) -> None:
     monkeypatch.setattr(allowance, "EARNED_SHARE", 1.0)
     monkeypatch.setattr(allowance, "BURST_SHARE", 1.0)
-    assert _play(SAVED_UP_THEN_SPENT) > 1.0
+    assert _play(SAVED_THEN_SPENT) > 1.0
--- a/tests/cover/test_retry_delay.py
+++ b/tests/cover/test_retry_delay.py
@@ -1,8 +1,7 @@
-"""When refused callers are told to come back.
+"""Retry delays of refused calls.
 
-The pattern: a service sheds part of what comes, for a moment or for long, and callers
-who are refused twice got nothing for their wait. Nothing here is a share of the target:
-what is told follows from how the level moves and from what answers take.
+Guards against delays after which a call is refused again, or is answered too late for
+its latency target.
 """
 
 from gingerturn.internal import ids
@@ -44,26 +43,25 @@
     state = _entry(level=FULL)
     state.mean_answer_ms["lookup"] = 100.0
     for call in range(10, 60):
-        wait = _refused(state, call)
-        usual = retry_delay.ANSWER_TIME_MARGIN * 100.0
-        assert TARGET_MS / 2 < wait <= TARGET_MS - usual
+        delay = _refused(state, call)
+        answer_ms = retry_delay.ANSWER_TIME_MARGIN * 100.0
+        assert TARGET_MS / 2 < delay <= TARGET_MS - answer_ms
 
 
 def test_longer_answer_times_shorten_the_delay() -> None:
-    waits = []
-    for usual in (20.0, 200.0):
+    delays = []
+    for answer_ms in (20.0, 200.0):
         state = _entry(level=FULL)
-        state.mean_answer_ms["lookup"] = usual
-        waits.append(sum(_refused(state, call) for call in range(10, 40)) / 30)
-    assert waits[0] > waits[1] + 100.0
+        state.mean_answer_ms["lookup"] = answer_ms
+        delays.append(sum(_refused(state, call) for call in range(10, 40)) / 30)
+    assert delays[0] > delays[1] + 100.0
 
 
 def test_a_falling_level_gives_the_time_until_it_passes_the_rank() -> None:
     state = _entry(level=FULL)
     state.mean_answer_ms["lookup"] = 10.0
     _refused(state, 10)
-    # It falls by 4,000 a millisecond; a call of half that span below has half a
-    # second less to wait.
+    # The level falls by 4,000 per ms.
     _report_level(state, FULL - 4_000 * 300, after_ms=300.0)
     level = FULL - 4_000 * 300
     for call in range(11, 30):
@@ -72,8 +70,10 @@
         if not refusals:
             continue
         rank = next(line for line in builders.all_of(out, effects.LogDecision)).figures
-        room_ms = max(retry_delay.MIN_DELAY_MS, (level - rank[2]) / 4_000)
-        assert refusals[0].retry_after_ms <= room_ms * (1 + retry_delay.JITTER) + 1
+        admitted_in_ms = max(retry_delay.MIN_DELAY_MS, (level - rank[2]) / 4_000)
+        assert (
+            refusals[0].retry_after_ms <= admitted_in_ms * (1 + retry_delay.JITTER) + 1
+        )
 
 
 def test_the_delay_is_never_below_the_minimum() -> None:
@@ -85,9 +85,9 @@
 
 def test_delays_of_simultaneous_refusals_are_spread() -> None:
     state = _entry(level=FULL)
-    waits = [_refused(state, call) for call in range(10, 60)]
-    assert max(waits) - min(waits) > 0.1 * min(waits)
-    assert len(set(waits)) > 40
+    delays = [_refused(state, call) for call in range(10, 60)]
+    assert max(delays) - min(delays) > 0.1 * min(delays)
+    assert len(set(delays)) > 40
 
 
 def test_the_mean_answer_time_follows_the_answers() -> None:
--- a/tests/cover/test_retry_rationing.py
+++ b/tests/cover/test_retry_rationing.py
@@ -1,9 +1,7 @@
-"""A retry budget that is short, and upstreams that turn calls away with slots free.
+"""Rationing of a short retry budget, and upstreams that refuse calls with slots free.
 
-The pattern: every upstream of a service that trees end at turns away a quarter of
-what comes. A request that ends in eight calls in a row needs some three repeats. The
-figures are those of the model's site with such trees, mean of three seeds: worth 0.784
-where the budget goes to calls in the order in which they come, 0.809 by rank.
+Guards against a budget that is spent in the order of arrival, on requests that fail at
+a later call.
 """
 
 import random
@@ -28,42 +26,42 @@
 
 
 def _demand(count: int, *, over_ms: float) -> rationing.RetryDemand:
-    wants = rationing.RetryDemand()
+    demand = rationing.RetryDemand()
     drawn = random.Random(1)
     for number in range(count):
         rank = ids.Rank(drawn.randrange(1000))
-        rationing.record_demand(wants, rank, number * over_ms / count)
-    return wants
+        rationing.record_demand(demand, rank, number * over_ms / count)
+    return demand
 
 
 def test_a_sufficient_budget_rations_no_call() -> None:
-    wants = _demand(100, over_ms=1_000.0)
-    assert rationing.minimum_rank(wants, 200.0, 1_000.0) == ranks.LOWEST
+    demand = _demand(100, over_ms=1_000.0)
+    assert rationing.minimum_rank(demand, 200.0, 1_000.0) == ranks.LOWEST
 
 
 @pytest.mark.parametrize(("supply", "share"), [(25.0, 0.5), (5.0, 0.1), (0.0, 0.0)])
 def test_a_short_budget_goes_to_the_highest_ranks(supply: float, share: float) -> None:
-    # 100 wants a second are 50 within the half second that a budget is divided over.
-    wants = _demand(100, over_ms=1_000.0)
-    cut = rationing.minimum_rank(wants, supply, 1_000.0)
-    carried = [rank for _, rank in wants.samples if rank >= cut]
-    assert len(carried) == pytest.approx(100 * share, abs=1)
+    # A demand of 100 a second is 50 within the horizon of half a second.
+    demand = _demand(100, over_ms=1_000.0)
+    min_rank = rationing.minimum_rank(demand, supply, 1_000.0)
+    covered = [rank for _, rank in demand.samples if rank >= min_rank]
+    assert len(covered) == pytest.approx(100 * share, abs=1)
 
 
 def test_old_demand_is_ignored() -> None:
-    wants = _demand(100, over_ms=1_000.0)
-    assert rationing.minimum_rank(wants, 1.0, 60_000.0) == ranks.LOWEST
+    demand = _demand(100, over_ms=1_000.0)
+    assert rationing.minimum_rank(demand, 1.0, 60_000.0) == ranks.LOWEST
 
 
 def test_kept_demand_is_bounded() -> None:
-    wants = _demand(10_000, over_ms=1_000.0)
-    assert len(wants.samples) <= 2 * rationing.MAX_SAMPLES
-    # The rate is told by what is kept all the same: a tenth of the wants is carried.
-    cut = rationing.minimum_rank(wants, 500.0, 1_000.0)
-    assert 850 < cut < 950
+    demand = _demand(10_000, over_ms=1_000.0)
+    assert len(demand.samples) <= 2 * rationing.MAX_SAMPLES
+    # The rate is still correct: the supply covers a tenth of the demand.
+    min_rank = rationing.minimum_rank(demand, 500.0, 1_000.0)
+    assert 850 < min_rank < 950
 
 
-def _turned_away(
+def _refused(
     state: states.State, attempt: ids.AttemptId, *, room: bool
 ) -> list[effects.Effect]:
     refusal = routed.refused(attempt, rule=REFUSED, arrived_there=True, room=room)
@@ -73,7 +71,7 @@
 def _entry(*upstreams: str) -> states.State:
     state = routed.node_state(retry_bound=allowance.Bound(50.0))
     builders.add_members(state, *(builders.member(name, "plans") for name in upstreams))
-    # Some hundred first attempts, so that there is a budget to draw on.
+    # First attempts, so that the budget has a balance.
     for call in range(1_000, 1_300):
         sent = routed.sent_to(reducer.reduce(state, routed.arrived(call)))
         reducer.reduce(state, builders.answered(sent.attempt, now=state.now))
@@ -85,32 +83,32 @@
 ):
     state = _entry("n2")
     first = routed.sent_to(reducer.reduce(state, routed.arrived(1)))
-    second = routed.sent_to(_turned_away(state, first.attempt, room=True))
+    second = routed.sent_to(_refused(state, first.attempt, room=True))
     assert second.node == first.node
 
 
 def test_a_call_turned_away_by_a_full_upstream_does_not_go_back() -> None:
     state = _entry("n2")
     first = routed.sent_to(reducer.reduce(state, routed.arrived(1)))
-    out = _turned_away(state, first.attempt, room=False)
+    out = _refused(state, first.attempt, room=False)
     assert not builders.all_of(out, effects.OpenAttempt)
 
 
 def test_a_call_that_goes_back_meets_no_more_upstreams_than_its_route_allows() -> None:
     state = _entry("n2", "n3", "n4")
     sent = routed.sent_to(reducer.reduce(state, routed.arrived(1)))
-    met = {sent.node}
+    nodes = {sent.node}
     attempts = 1
     while True:
         opened = builders.all_of(
-            _turned_away(state, sent.attempt, room=True), effects.OpenAttempt
+            _refused(state, sent.attempt, room=True), effects.OpenAttempt
         )
         if not opened:
             break
         sent = opened[0]
-        met.add(sent.node)
+        nodes.add(sent.node)
         attempts += 1
-    assert len(met) == 2
+    assert len(nodes) == 2
     assert attempts > 2
 
 
@@ -120,14 +118,14 @@
     for _ in range(2_000):
         rationing.record_demand(budget.demand, ids.Rank(ranks.HIGHEST), state.now)
     first = routed.sent_to(reducer.reduce(state, routed.arrived(1)))
-    out = _turned_away(state, first.attempt, room=True)
+    out = _refused(state, first.attempt, room=True)
     assert not builders.all_of(out, effects.OpenAttempt)
     rules = [line.rule for line in builders.all_of(out, effects.LogDecision)]
     assert decisions.Rule.RETRY_RATIONED in rules
 
 
 def test_a_call_that_cannot_be_retried_stays_at_an_unresponsive_node() -> None:
-    # It was cancelled first and then found no budget, and nobody answered its caller.
+    # Cancelling the attempt before the budget is checked leaves its caller unanswered.
     state = _entry("n2", "n3")
     sent = routed.sent_to(reducer.reduce(state, routed.arrived(1)))
     budget = state.budgets[ids.ServiceName("plans")]
@@ -152,8 +150,8 @@
 ) -> None:
     by_rank = _played(0.25)
     monkeypatch.setattr(
-        rationing, "minimum_rank", lambda wants, supply, now: ranks.LOWEST
+        rationing, "minimum_rank", lambda demand, supply, now: ranks.LOWEST
     )
-    by_order = _played(0.25)
-    assert by_rank.worth > by_order.worth + 0.01
+    by_arrival = _played(0.25)
+    assert by_rank.worth > by_arrival.worth + 0.01
     assert by_rank.repeats <= 0.2
--- a/tests/cover/test_saturation.py
+++ b/tests/cover/test_saturation.py
@@ -1,4 +1,4 @@
-"""A backend server that slows down when nearly full keeps its last slots free."""
+"""The last slots of a backend server that slows down at saturation are left free."""
 
 import random
 
@@ -10,7 +10,7 @@
 
 
 def _play(slowdown: float, *, seed: int = 1) -> states.State:
-    """Keep the backend server now full, now half empty, with such a slowdown."""
+    """Alternate between full and half occupancy, with a slowdown at saturation."""
     rng = random.Random(seed)
     state = routed.node_state(service="plans", slots=SLOTS)
     number = 0
@@ -61,11 +61,11 @@
 
 
 def _fill(
-    state: states.State, *, calls: int, busy: int, work_ms: float, first: int
+    state: states.State, *, calls: int, occupied: int, work_ms: float, first: int
 ) -> None:
-    """Let calls run one after another beside so many others, each for a time."""
+    """Run calls in sequence while the given number of slots is occupied."""
     for number in range(first, first + calls):
-        state.backend.running = busy - 1
+        state.backend.running = occupied - 1
         reducer.reduce(state, builders.opened(number, now=state.now))
         if state.hosted[ids.HostedId(number)].state is not states.HostedState.RUNNING:
             return
@@ -77,30 +77,38 @@
 
 
 def test_saturation_is_detected_soon_after_overload_begins() -> None:
-    # No call finds room any more by then: what the kind takes is known from before.
+    # All slots are taken, so the baseline is from before the overload.
     state = routed.node_state(service="plans", slots=SLOTS)
-    _fill(state, calls=60, busy=8, work_ms=50.0, first=1)
-    _fill(state, calls=saturation.MIN_SAMPLES, busy=SLOTS, work_ms=65.0, first=100)
+    _fill(state, calls=60, occupied=8, work_ms=50.0, first=1)
+    _fill(state, calls=saturation.MIN_SAMPLES, occupied=SLOTS, work_ms=65.0, first=100)
     assert saturation.usable_slots(state) < SLOTS
 
 
 def test_slots_are_used_again_where_leaving_them_free_makes_nothing_faster() -> None:
-    # The backend server turned slow for another reason, while it was full.
+    # The backend server became slow for another reason while it was saturated.
     state = routed.node_state(service="plans", slots=SLOTS)
-    _fill(state, calls=60, busy=8, work_ms=50.0, first=1)
-    _fill(state, calls=saturation.MIN_SAMPLES, busy=SLOTS, work_ms=200.0, first=100)
-    held = saturation.usable_slots(state)
-    assert held < SLOTS
-    _fill(state, calls=saturation.MIN_SAMPLES, busy=held, work_ms=200.0, first=200)
+    _fill(state, calls=60, occupied=8, work_ms=50.0, first=1)
+    _fill(state, calls=saturation.MIN_SAMPLES, occupied=SLOTS, work_ms=200.0, first=100)
+    limited = saturation.usable_slots(state)
+    assert limited < SLOTS
+    _fill(
+        state, calls=saturation.MIN_SAMPLES, occupied=limited, work_ms=200.0, first=200
+    )
     assert saturation.usable_slots(state) == SLOTS
-    _fill(state, calls=saturation.MIN_SAMPLES, busy=SLOTS, work_ms=200.0, first=300)
+    _fill(state, calls=saturation.MIN_SAMPLES, occupied=SLOTS, work_ms=200.0, first=300)
     assert saturation.usable_slots(state) == SLOTS
 
 
 def test_the_slots_stay_free_while_that_makes_calls_faster() -> None:
     state = routed.node_state(service="plans", slots=SLOTS)
-    _fill(state, calls=60, busy=8, work_ms=50.0, first=1)
-    _fill(state, calls=saturation.MIN_SAMPLES, busy=SLOTS, work_ms=65.0, first=100)
-    held = saturation.usable_slots(state)
-    _fill(state, calls=2 * saturation.MIN_SAMPLES, busy=held, work_ms=50.0, first=200)
-    assert saturation.usable_slots(state) == held
+    _fill(state, calls=60, occupied=8, work_ms=50.0, first=1)
+    _fill(state, calls=saturation.MIN_SAMPLES, occupied=SLOTS, work_ms=65.0, first=100)
+    limited = saturation.usable_slots(state)
+    _fill(
+        state,
+        calls=2 * saturation.MIN_SAMPLES,
+        occupied=limited,
+        work_ms=50.0,
+        first=200,
+    )
+    assert saturation.usable_slots(state) == limited
--- a/tests/cover/test_startup_waits.py
+++ b/tests/cover/test_startup_waits.py
@@ -1,4 +1,4 @@
-"""Calls that come right after a start, before upstreams are known, wait a moment."""
+"""Calls that arrive after a start, before upstreams are known, wait for them."""
 
 from gingerturn import routes
 from gingerturn.internal import ids
@@ -13,10 +13,10 @@
 
 TARGET_MS = routed.route().target_ms
 CHECK_MS = 120.0
-"""Calls that have waited long enough are found by a check each 100 ms."""
+"""Longer than the period of the check for calls that exceeded their maximum wait."""
 
 
-def _fresh() -> states.State:
+def _started() -> states.State:
     """Return a node that has just started, with a route for its backend server."""
     table = (
         routed.route(),
@@ -28,16 +28,16 @@
 
 
 def _call_of_a_running_request(state: states.State) -> list[effects.Effect]:
-    """Let the backend server, at work on a request, call the service below."""
+    """Let the backend server, while it runs a request, call the service below."""
     terms = builders.call_terms(kind="lookup", trace="r1", deadline_ms=900.0)
     reducer.reduce(state, builders.opened(1, terms))
     return reducer.reduce(state, routed.arrived(7, path="/b/x", request="r1.c1"))
 
 
 def test_a_call_of_a_running_request_waits_for_the_first_upstream() -> None:
-    # 288 requests failed in the first second after all nodes were restarted, since the
-    # calls made for them were refused: no upstream had sent its next heartbeat yet.
-    state = _fresh()
+    # After a restart of all nodes, refusing such calls before the next heartbeats of
+    # the upstreams fails the requests that they belong to.
+    state = _started()
     out = _call_of_a_running_request(state)
     assert not builders.all_of(out, effects.RefuseCall)
     assert not builders.all_of(builders.passed(state, 500.0), effects.RefuseCall)
@@ -48,7 +48,7 @@
 
 
 def test_a_waiting_call_is_sent_only_once() -> None:
-    state = _fresh()
+    state = _started()
     _call_of_a_running_request(state)
     builders.add_members(state, builders.member("n2", "stock"))
     out = builders.passed(state, 300.0)
@@ -58,7 +58,7 @@
 
 
 def test_a_waiting_call_is_refused_after_its_maximum_wait() -> None:
-    state = _fresh()
+    state = _started()
     terms = builders.call_terms(kind="lookup", trace="r1", deadline_ms=4_000.0)
     reducer.reduce(state, builders.opened(1, terms))
     reducer.reduce(state, routed.arrived(7, path="/b/x", request="r1.c1"))
@@ -70,7 +70,7 @@
 
 
 def test_a_new_request_waits_briefly_and_gets_a_short_retry_delay() -> None:
-    state = _fresh()
+    state = _started()
     out = reducer.reduce(state, routed.arrived(1, path="/b/x"))
     out += builders.passed(state, startup_waits.ROOT_WAIT_MS - 20.0)
     assert not builders.all_of(out, effects.RefuseCall)
@@ -79,14 +79,14 @@
 
 
 def test_a_node_past_its_startup_refuses_at_once() -> None:
-    state = _fresh()
+    state = _started()
     state.started_at = state.now - startup_waits.STARTUP_MS
     refusal = builders.only(_call_of_a_running_request(state), effects.RefuseCall)
     assert refusal.title == "no upstream"
 
 
 def test_a_waiting_call_whose_caller_leaves_is_forgotten() -> None:
-    state = _fresh()
+    state = _started()
     reducer.reduce(state, routed.arrived(1, path="/b/x"))
     reducer.reduce(state, events.CallerGone(now=state.now, call=ids.CallId(1)))
     builders.add_members(state, builders.member("n2", "stock"))
