--- a/src/gingerturn/internal/core/hosting.py
+++ b/src/gingerturn/internal/core/hosting.py
@@ -314,7 +314,7 @@
 
 def drop_overdue(state: states.State, out: states.Effects) -> None:
     """Refuse the queued calls that waited too long."""
-    for hosted_id in admission.overdue(state):
+    for hosted_id in admission.expire_queued(state):
         replies.refuse(
             state, state.hosted[hosted_id], decisions.Rule.QUEUE_EXPIRED, out
         )
--- a/src/gingerturn/internal/core/routing.py
+++ b/src/gingerturn/internal/core/routing.py
@@ -93,7 +93,7 @@
 
     The comparison with the lowest level spares the search for most refused calls.
     """
-    if _own_rank(state, rank) < levels.lowest(state, service):
+    if _own_rank(state, rank) < levels.lowest_reported(state, service):
         return []
     start = int(state.random.random() * len(nodes))
     for offset in range(len(nodes)):
--- a/src/gingerturn/internal/core/sending.py
+++ b/src/gingerturn/internal/core/sending.py
@@ -119,7 +119,7 @@
     if not may_repeat(call) or quarantine.entry_of(state, call.fingerprint):
         return False
     budget = _budget(state, call.service)
-    if call.tokens < 1 or budget.held < 1.0 or call.rank < _retry_cut(state, budget):
+    if call.tokens < 1 or budget.balance < 1.0 or call.rank < _retry_cut(state, budget):
         return False
     node = routing.choose(
         state, _untried_upstreams(state, call), call.rule.name, call.rank
@@ -178,7 +178,7 @@
         that the call may be sent back to it without a token.
     """
     budget = _budget(state, call.service)
-    figures = (float(call.tokens), budget.held, float(call.attempts))
+    figures = (float(call.tokens), budget.balance, float(call.attempts))
     allowed = may_repeat(call) if may_have_run else call.replayable and not call.holder
     if not allowed or state.now >= call.deadline:
         return False
@@ -194,10 +194,10 @@
     if node is None:
         refusals.decide(state, call, decisions.Rule.RETRY_NO_UPSTREAM, out, figures)
         return False
-    rationing.record_demand(budget.wants, call.rank, state.now)
+    rationing.record_demand(budget.demand, call.rank, state.now)
     minimum_rank = _retry_cut(state, budget)
     if call.rank < minimum_rank:
-        figures = (budget.held, float(minimum_rank), float(call.rank))
+        figures = (budget.balance, float(minimum_rank), float(call.rank))
         refusals.decide(state, call, decisions.Rule.RETRY_RATIONED, out, figures)
         return False
     if not allowance.spend(budget):
@@ -234,8 +234,8 @@
 def _retry_cut(state: states.State, budget: allowance.Budget) -> ids.Rank:
     """Return the lowest rank that may draw on a retry budget."""
     window_ms = _window_ms(state)
-    supply = allowance.supply(budget, rationing.HORIZON_MS, window_ms)
-    return rationing.minimum_rank(budget.wants, supply, state.now)
+    supply = allowance.expected_supply(budget, rationing.HORIZON_MS, window_ms)
+    return rationing.minimum_rank(budget.demand, supply, state.now)
 
 
 def _window_ms(state: states.State) -> float:
@@ -253,11 +253,11 @@
     if bound is not None:
         share = min(share, allowance.EARNED_SHARE * bound.ratio)
         nodes = len(state.membership.members) - len(state.membership.gone)
-        max_budget = allowance.shared_cap(budget, bound, nodes=nodes)
+        max_budget = allowance.balance_limit(budget, bound, nodes=nodes)
     if call.repeat:
         allowance.charge_forced_repeat(budget)
     else:
-        allowance.earn(budget, share, most=max_budget)
+        allowance.earn(budget, share, limit=max_budget)
 
 
 def _budget(state: states.State, service: ids.ServiceName) -> allowance.Budget:
@@ -267,7 +267,7 @@
         if state.retry_bound is not None:
             # A node that has just started does not know the number of members, so
             # that its share of the slack would be too large.
-            budget.held = 0.0
+            budget.balance = 0.0
         state.budgets[service] = budget
     return budget
 
--- a/tests/cover/test_settling.py
+++ b/tests/cover/test_startup_waits.py
@@ -1,4 +1,4 @@
-"""Calls that come right after a start, before upstreams are known, wait a moment."""
+"""Calls that arrive after a start, before upstreams are known, wait for them."""
 
 from gingerturn import routes
 from gingerturn.internal import ids
@@ -13,10 +13,10 @@
 
 TARGET_MS = routed.route().target_ms
 CHECK_MS = 120.0
-"""Calls that have waited long enough are found by a check each 100 ms."""
+"""Longer than the period of the check for calls that exceeded their maximum wait."""
 
 
-def _fresh() -> states.State:
+def _started() -> states.State:
     """Return a node that has just started, with a route for its backend server."""
     table = (
         routed.route(),
@@ -28,16 +28,16 @@
 
 
 def _call_of_a_running_request(state: states.State) -> list[effects.Effect]:
-    """Let the backend server, at work on a request, call the service below."""
+    """Let the backend server, while it runs a request, call the service below."""
     terms = builders.call_terms(kind="lookup", trace="r1", deadline_ms=900.0)
     reducer.reduce(state, builders.opened(1, terms))
     return reducer.reduce(state, routed.arrived(7, path="/b/x", request="r1.c1"))
 
 
 def test_a_call_of_a_running_request_waits_for_the_first_upstream() -> None:
-    # 288 requests failed in the first second after all nodes were restarted, since the
-    # calls made for them were refused: no upstream had sent its next heartbeat yet.
-    state = _fresh()
+    # After a restart of all nodes, refusing such calls before the next heartbeats of
+    # the upstreams fails the requests that they belong to.
+    state = _started()
     out = _call_of_a_running_request(state)
     assert not builders.all_of(out, effects.RefuseCall)
     assert not builders.all_of(builders.passed(state, 500.0), effects.RefuseCall)
@@ -47,8 +47,8 @@
     assert not state.waiting_calls
 
 
-def test_it_is_sent_once_only() -> None:
-    state = _fresh()
+def test_a_waiting_call_is_sent_only_once() -> None:
+    state = _started()
     _call_of_a_running_request(state)
     builders.add_members(state, builders.member("n2", "stock"))
     out = builders.passed(state, 300.0)
@@ -57,43 +57,43 @@
     assert len(state.attempts) == 1
 
 
-def test_it_is_refused_when_it_has_waited_long_enough() -> None:
-    state = _fresh()
+def test_a_waiting_call_is_refused_after_its_maximum_wait() -> None:
+    state = _started()
     terms = builders.call_terms(kind="lookup", trace="r1", deadline_ms=4_000.0)
     reducer.reduce(state, builders.opened(1, terms))
     reducer.reduce(state, routed.arrived(7, path="/b/x", request="r1.c1"))
-    out = builders.passed(state, startup_waits.DEEP_HELD_MS - 20.0)
+    out = builders.passed(state, startup_waits.DEEP_WAIT_MS - 20.0)
     assert not builders.all_of(out, effects.RefuseCall)
     refusal = builders.only(builders.passed(state, CHECK_MS), effects.RefuseCall)
     assert refusal.status == 503
     assert not state.waiting_calls
 
 
-def test_a_new_request_waits_for_a_moment_and_may_soon_come_back() -> None:
-    state = _fresh()
+def test_a_new_request_waits_briefly_and_gets_a_short_retry_delay() -> None:
+    state = _started()
     out = reducer.reduce(state, routed.arrived(1, path="/b/x"))
-    out += builders.passed(state, startup_waits.ROOT_HELD_MS - 20.0)
+    out += builders.passed(state, startup_waits.ROOT_WAIT_MS - 20.0)
     assert not builders.all_of(out, effects.RefuseCall)
     refusal = builders.only(builders.passed(state, CHECK_MS), effects.RefuseCall)
     assert 0 < refusal.retry_after_ms <= TARGET_MS / 2
 
 
-def test_a_node_that_has_settled_refuses_at_once() -> None:
-    state = _fresh()
-    state.started_at = state.now - startup_waits.SETTLE_MS
+def test_a_node_past_its_startup_refuses_at_once() -> None:
+    state = _started()
+    state.started_at = state.now - startup_waits.STARTUP_MS
     refusal = builders.only(_call_of_a_running_request(state), effects.RefuseCall)
     assert refusal.title == "no upstream"
 
 
 def test_a_waiting_call_whose_caller_leaves_is_forgotten() -> None:
-    state = _fresh()
+    state = _started()
     reducer.reduce(state, routed.arrived(1, path="/b/x"))
     reducer.reduce(state, events.CallerGone(now=state.now, call=ids.CallId(1)))
     builders.add_members(state, builders.member("n2", "stock"))
     assert not state.attempts and not state.waiting_calls
 
 
-def test_a_waiting_call_that_may_not_repeat_is_told_not_to_have_run() -> None:
+def test_an_unrepeatable_waiting_call_is_refused_as_not_run() -> None:
     route = routed.route(
         prefix="/b/", kind=routes.RouteType.UNREPEATABLE, shares=(("stock", 1),)
     )
