--- a/src/gingerturn/internal/core/cap_window.py
+++ b/src/gingerturn/internal/core/cap_window.py
@@ -5,16 +5,15 @@
 from gingerturn.internal.core import messages, state as states
 
 SLICES = 20
-"""Number of slices in a window."""
-
+"""Slices in one window."""
 
 TOLERANCE_USED = 0.1
 """Part of the allowed excess of a cap that is granted. The rest covers tokens held in
 buckets, late answers and changes of allocator."""
 
 MAX_UNSEEN_SLICES = 6
-"""Longest gap without a request, in slices, over which the delegated share counts as
-unchanged. Small deployments send few requests."""
+"""Longest gap between two records of the share, in slices, over which it counts as
+delegated. Small deployments send few requests."""
 
 
 def allowed(state: states.State, cap: routes.Workspace) -> float:
