--- a/src/gingerturn/internal/core/admission.py
+++ b/src/gingerturn/internal/core/admission.py
@@ -42,11 +42,12 @@
 
 FULL_OCCUPANCY = 0.75
 """Occupancy below which a refusal by the backend server counts as a fault and not as
-overload, so that it does not lower the limit."""
+overload. On routes it then does not lower the limit."""
 
 LIMIT_CUT_FACTOR = 0.9
 LIMIT_CUT_INTERVAL_MS = 100.0
-"""Minimum interval between two cuts, so that a burst of refusals cuts it only once."""
+"""Minimum interval between two cuts of the limit, so that a burst of refusals counts as
+one."""
 
 SERVICE_TIME_WEIGHT = 0.1
 SERVICE_TIME_HALF_LIFE_MS = 2_000.0
