--- a/src/gingerturn/internal/shell/backend_http.py
+++ b/src/gingerturn/internal/shell/backend_http.py
@@ -1,4 +1,4 @@
-"""Exchanges with the backend server beside this node, over HTTP/1.1."""
+"""HTTP/1.1 connections to the backend server of this node."""
 
 import asyncio
 import collections.abc
@@ -16,32 +16,35 @@
 
 
 class Receiver(typing.Protocol):
-    """What an exchange tells the node."""
+    """Callbacks of an exchange."""
 
     def on_head(self, status: int, head: bytes, length: int, *, executed: bool) -> None:
-        """Take the head; ``length`` is -1 when it is not announced.
+        """Handle the head of the answer.
 
-        :param executed: ``False`` when it says that the request did not run.
+        :param length: length of the body; -1 if it is not known.
+        :param executed: ``False`` if the head says that the request did not run.
         """
 
     def on_body(self, body: bytes) -> None:
-        """Take a piece of the body."""
+        """Handle a piece of the body."""
 
     def on_end(self) -> None:
-        """Take the end of a whole answer."""
+        """Handle the end of a complete answer."""
 
-    def on_failure(self, *, handed: bool) -> None:
-        """Take a failure; nothing more follows."""
+    def on_failure(self, *, dispatched: bool) -> None:
+        """Handle a failure, the last callback of its exchange.
+
+        :param dispatched: whether the request was written.
+        """
 
 
 class Connection(asyncio.Protocol):
-    """One connection to the backend server, for one exchange at a time.
+    """A connection to the backend server, for one exchange at a time.
 
-    Invariant: it goes back to the pool only after a whole answer with nothing left
-    over; a cancelled or failed exchange closes it, and so does one on which an answer
-    to another request came.
+    Invariant: it returns to the pool only after a complete answer. It is closed after a
+    cancelled or failed exchange, and after an answer to another request.
 
-    :param pool: where it goes back to.
+    :param pool: the pool that it returns to.
     """
 
     def __init__(self, pool: "backend_pool.Pool") -> None:
@@ -58,42 +61,41 @@
         self._answered = False
         self._upload_ended = True
         self._request_id = b""
-        self._foreign = False
-        self._trusted = True
+        self._mismatched = False
+        self._in_sync = True
         self._until_close = False
         self._on_writable: list[collections.abc.Callable[[], None]] = []
-        # How long it had rested when the exchange under way began; 0 for a new one.
-        self._rested_ms = 0.0
+        # Idle time before the current exchange; 0 for a new connection.
+        self._idle_ms = 0.0
         self.write_paused = False
         self.idle_since = 0.0
 
     @property
     def usable(self) -> bool:
-        """Whether a new exchange may begin on it."""
+        """Whether a new exchange may begin."""
         return not self._transport.is_closing()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the new connection."""
+        """Store the transport and enable the detection of a silent backend server."""
         self._transport = typing.cast(asyncio.Transport, transport)
         sockets.bound_silence(transport)
 
     def eof_received(self) -> None:
-        """End an answer without a length: its end is that of the connection.
+        """Complete an answer that is delimited by the end of the connection.
 
-        A connection that was reset comes to :meth:`connection_lost` without this,
-        and its answer is not whole.
+        It is not called for a connection that was reset, whose answer is incomplete.
         """
-        if self._until_close and self._receiver is not None and not self._foreign:
+        if self._until_close and self._receiver is not None and not self._mismatched:
             self._end()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Tell the exchange that it failed."""
+        """Fail the current exchange."""
         self._pool.discard(self)
-        if self._receiver is not None and not self._answered and self._rested_ms > 0:
-            self._pool.note_forgotten(self._rested_ms)
+        if self._receiver is not None and not self._answered and self._idle_ms > 0:
+            self._pool.record_idle_loss(self._idle_ms)
         receiver, self._receiver = self._receiver, None
         if receiver is not None:
-            receiver.on_failure(handed=self._written)
+            receiver.on_failure(dispatched=self._written)
 
     def begin(
         self,
@@ -104,22 +106,22 @@
         head_only: bool,
         whole: bool = True,
     ) -> None:
-        """Begin an exchange: write the head and what there is of the body.
+        """Begin an exchange: write the head and the first part of the body.
 
-        :param whole: the body is complete; otherwise pieces follow.
+        :param whole: whether the body is complete; otherwise pieces follow.
         """
         self._receiver = receiver
         self._parser = httptools.HttpResponseParser(self)
         self._head_only = head_only
         self._informational = False
-        self._foreign = False
+        self._mismatched = False
         self._until_close = False
         self._upload_ended = whole
-        self._request_id = heads.value_in(head, self._pool.dialect.request_id)
+        self._request_id = heads.find_value(head, self._pool.dialect.request_id)
         self._chunked = b"\ntransfer-encoding: chunked\r\n" in head
         self._written = True
         self._answered = False
-        self._rested_ms = clock.now() - self.idle_since if self.idle_since else 0.0
+        self._idle_ms = clock.now() - self.idle_since if self.idle_since else 0.0
         if body and not self._chunked:
             self._transport.writelines((head, b"\r\n", body))
             return
@@ -128,31 +130,31 @@
             self.write(body)
 
     def write(self, body: bytes) -> None:
-        """Write a piece of a long body."""
+        """Write a piece of a streamed body."""
         if self._chunked:
             self._transport.write(b"%x\r\n%b\r\n" % (len(body), body))
         else:
             self._transport.write(body)
 
     def write_end(self) -> None:
-        """End a long body."""
+        """End a streamed body."""
         self._upload_ended = True
         if self._chunked:
             self._transport.write(b"0\r\n\r\n")
 
     def pause_writing(self) -> None:
-        """Note that the backend server reads slowly."""
+        """Record that the write buffer is full."""
         self.write_paused = True
 
     def resume_writing(self) -> None:
-        """Run what waited for the backend server to read."""
+        """Run the functions that waited for the write buffer to drain."""
         self.write_paused = False
         waiting, self._on_writable = self._on_writable, []
         for function in waiting:
             function()
 
     def when_writable(self, function: collections.abc.Callable[[], None]) -> None:
-        """Run a function once the backend server has read what was written."""
+        """Run a function once the write buffer has drained."""
         self._on_writable.append(function)
 
     def pause(self) -> None:
@@ -161,19 +163,19 @@
             self._transport.pause_reading()
 
     def resume(self) -> None:
-        """Read again."""
+        """Resume reading."""
         if not self._transport.is_closing():
             self._transport.resume_reading()
 
     def abandon(self) -> None:
-        """Close the connection; the backend server takes that as cancellation."""
+        """Close the connection, which cancels the call at the backend server."""
         self._receiver = None
         self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
         """Feed the parser."""
         if self._receiver is None:
-            # Bytes that belong to no exchange: never read them as an answer.
+            # Unsolicited bytes must not be read as the next answer.
             self._transport.abort()
             return
         try:
@@ -181,32 +183,32 @@
         except httptools.HttpParserError:
             self._fail()
 
-    # Callbacks of the parser, which names them.
+    # Callbacks of httptools.HttpResponseParser.
 
     def on_message_begin(self) -> None:
-        """Begin an answer."""
+        """Start an answer."""
         self._headers = []
         if self._receiver is None:
-            # A second answer right behind the first: the connection cannot be
-            # trusted to begin the next exchange at its own answer.
+            # A second answer directly after the first would be read as the answer to
+            # the next request.
             self._reusable = False
             self._transport.abort()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Gather a header."""
+        """Add a header."""
         self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Pass the head on."""
+        """Handle the complete head."""
         status = self._parser.get_status_code()
         self._answered = True
         self._informational = status < 200
         if self._informational or self._receiver is None:
             return
-        self._foreign = self._is_foreign()
-        if self._foreign:
-            # A late second answer to an earlier request; ours may still follow.
-            self._trusted = False
+        self._mismatched = self._is_mismatched()
+        if self._mismatched:
+            # A late answer to an earlier request; the expected one may still follow.
+            self._in_sync = False
             return
         values = dict(self._headers)
         lengths = []
@@ -219,17 +221,17 @@
             return
         self._until_close = not (lengths or chunked or bodiless)
         self._reusable = (
-            self._trusted and self._parser.should_keep_alive() and not self._until_close
+            self._in_sync and self._parser.should_keep_alive() and not self._until_close
         )
-        told = values.get(b"keep-alive")
-        if told is not None:
-            self._pool.note_keep_alive(told)
-        head = heads.status_line(status) + heads.passed_on(self._headers)
+        keep_alive = values.get(b"keep-alive")
+        if keep_alive is not None:
+            self._pool.update_keep_alive(keep_alive)
+        head = heads.status_line(status) + heads.forwarded_lines(self._headers)
         if self._head_only and lengths:
             head += b"content-length: %b\r\n" % lengths[0]
         length = int(lengths[0]) if lengths and not chunked else -1
-        mark = self._pool.dialect.not_executed
-        executed = status != messages.MISDIRECTED and mark not in values
+        not_executed_header = self._pool.dialect.not_executed
+        executed = status != messages.MISDIRECTED and not_executed_header not in values
         self._receiver.on_head(
             status, head, 0 if bodiless else length, executed=executed
         )
@@ -238,13 +240,17 @@
             self._end()
 
     def on_body(self, body: bytes) -> None:
-        """Pass a piece of the body on."""
-        if self._receiver is not None and not self._informational and not self._foreign:
+        """Handle a piece of the body."""
+        if (
+            self._receiver is not None
+            and not self._informational
+            and not self._mismatched
+        ):
             self._receiver.on_body(body)
 
     def on_message_complete(self) -> None:
-        """End the exchange."""
-        if self._foreign:
+        """Complete the exchange."""
+        if self._mismatched:
             return
         if not self._informational and self._receiver is not None:
             self._end()
@@ -252,8 +258,8 @@
     def _end(self) -> None:
         receiver, self._receiver = self._receiver, None
         if self._reusable and self._upload_ended:
-            # The last pieces may have used up the credit; a connection that went
-            # back paused let the next exchange on it hang.
+            # Reading may be paused for lack of credit, which would block the next
+            # exchange on this connection.
             self.resume()
             self._pool.put(self)
         else:
@@ -261,8 +267,8 @@
         if receiver is not None:
             receiver.on_end()
 
-    def _is_foreign(self) -> bool:
-        """Tell whether an answer names another request than the one under way."""
+    def _is_mismatched(self) -> bool:
+        """Whether the answer has the request id of another request."""
         name = self._pool.dialect.request_id
         if not name or not self._request_id:
             return False
@@ -272,4 +278,4 @@
         receiver, self._receiver = self._receiver, None
         self._transport.abort()
         if receiver is not None:
-            receiver.on_failure(handed=True)
+            receiver.on_failure(dispatched=True)
--- a/src/gingerturn/internal/shell/backend_pool.py
+++ b/src/gingerturn/internal/shell/backend_pool.py
@@ -1,7 +1,7 @@
-"""The connections to the backend server, and how long an idle one is to be trusted.
+"""Pool of connections to the backend server, with an adaptive idle timeout.
 
-A backend server may close or forget a connection that rests. A call that is written to
-it then has an end that nobody knows, so one that has rested too long is not used.
+A backend server, or a device on the way, may drop an idle connection. A call written to
+such a connection has an unknown outcome, so connections idle for too long are not used.
 """
 
 import asyncio
@@ -13,32 +13,29 @@
 from gingerturn.internal import ids
 from gingerturn.internal.shell import backend_http, clock
 
-IDLE_MS = 3_000.0
-"""An idle connection is closed after 3 s, before common backend servers close it
-from their side (5 s): a call written to a connection that is being closed has an
-unknown outcome."""
+MAX_IDLE_TIMEOUT_MS = 3_000.0
+"""Upper limit of the idle timeout, below the 5 s after which common backend servers
+close idle connections."""
 
-TOLD_SHARE = 0.8
-"""Of the time that the backend server says it keeps idle connections; the rest is for a
-call that is on its way when that time ends."""
+KEEP_ALIVE_FRACTION = 0.8
+"""Fraction of the advertised ``Keep-Alive`` timeout that is used; the rest allows for
+the time that a call takes to arrive."""
 
-SURELY_ALIVE_MS = 250.0
-"""A connection that rested no longer carries calls that cannot be sent again. Idle
-connections are not known to be forgotten sooner than after 300 ms."""
+RECENTLY_USED_MS = 250.0
+"""Longest idle time of a connection for calls that cannot be repeated."""
 
-FORGOTTEN_SHARE = 0.5
-"""Of the time that a connection had rested when it turned out to be forgotten: half of
-it is trusted from then on."""
+IDLE_LOSS_FRACTION = 0.5
+"""The idle time of a lost connection times this fraction is the new idle timeout."""
 
-LEAST_IDLE_MS = 50.0
-"""A connection lost that soon after its last call was lost for another reason."""
+MIN_IDLE_TIMEOUT_MS = 50.0
+"""Lower limit of the idle timeout. A loss after at most this idle time has another
+cause and does not change the timeout."""
 
-RELEARN_MS = 5_000.0
-"""What was learned doubles in this time: a backend server that forgot connections for a
-while is not met with a new one for each call ever after."""
+DOUBLING_INTERVAL_MS = 5_000.0
+"""Time in which an idle timeout that was reduced by a loss doubles again."""
 
-MOST_DOUBLINGS = 16.0
-"""From the least that is learned this leads past the most that is ever trusted."""
+MAX_DOUBLINGS = 16.0
+"""Enough to exceed the upper limit of the idle timeout from its lower limit."""
 
 CONNECT_TIMEOUT_S = 1.0
 _KEEP_ALIVE = re.compile(rb"timeout=(\d{1,6})")
@@ -47,75 +44,78 @@
 class Pool:
     """Connections to one backend server.
 
-    :param dialect: names of the headers that it speaks.
+    :param dialect: names of the headers that the backend server uses.
     """
 
     def __init__(self, dialect: dialects.Dialect) -> None:
         self.dialect = dialect
         self._idle: collections.deque[backend_http.Connection] = collections.deque()
         self._address = ("", 0)
-        self._told = b""
-        self._told_ms = IDLE_MS
-        self._learned_ms = IDLE_MS
-        self._learned_at = clock.now()
+        self._keep_alive = b""
+        self._advertised_ms = MAX_IDLE_TIMEOUT_MS
+        self._observed_ms = MAX_IDLE_TIMEOUT_MS
+        self._observed_at = clock.now()
 
-    def use(self, host: str, port: int) -> None:
-        """Point the pool at an address; connections to another one are closed."""
+    def set_address(self, host: str, port: int) -> None:
+        """Set the address; close idle connections to another one."""
         if self._address == (host, port):
             return
         self._address = (host, port)
-        self._told = b""
-        self._told_ms = self._learned_ms = IDLE_MS
+        self._keep_alive = b""
+        self._advertised_ms = self._observed_ms = MAX_IDLE_TIMEOUT_MS
         while self._idle:
             self._idle.pop().abandon()
 
     @property
-    def idle_bound_ms(self) -> ids.Milliseconds:
-        """How long a connection may have rested and still carry a call."""
-        elapsed = clock.now() - self._learned_at
-        doublings = min(MOST_DOUBLINGS, elapsed / RELEARN_MS)
-        learned = self._learned_ms * math.pow(2.0, doublings)
-        return min(IDLE_MS, self._told_ms, learned)
-
-    def take(self, *, surely_alive: bool = False) -> backend_http.Connection | None:
-        """Return an idle connection, the one used last first.
-
-        :param surely_alive: only one that was in use a moment ago, for a call that
-            cannot be sent again.
+    def idle_timeout_ms(self) -> ids.Milliseconds:
+        """Longest idle time after which a connection is used for a call."""
+        elapsed = clock.now() - self._observed_at
+        doublings = min(MAX_DOUBLINGS, elapsed / DOUBLING_INTERVAL_MS)
+        observed_ms = self._observed_ms * math.pow(2.0, doublings)
+        return min(MAX_IDLE_TIMEOUT_MS, self._advertised_ms, observed_ms)
+
+    def take(self, *, recently_used: bool = False) -> backend_http.Connection | None:
+        """Return the most recently used idle connection; ``None`` if there is none.
+
+        :param recently_used: whether to apply :data:`RECENTLY_USED_MS`, for a call that
+            cannot be repeated.
         """
-        bound = self.idle_bound_ms
-        if surely_alive:
-            bound = min(bound, SURELY_ALIVE_MS)
-        while self._idle and self._idle[-1].idle_since >= clock.now() - bound:
+        timeout_ms = self.idle_timeout_ms
+        if recently_used:
+            timeout_ms = min(timeout_ms, RECENTLY_USED_MS)
+        while self._idle and self._idle[-1].idle_since >= clock.now() - timeout_ms:
             connection = self._idle.pop()
             if connection.usable:
                 return connection
         return None
 
-    def note_forgotten(self, rested_ms: ids.Milliseconds) -> None:
-        """Take in that a rested connection was lost without a byte of an answer."""
-        bound = self.idle_bound_ms
-        if LEAST_IDLE_MS < rested_ms <= bound:
-            self._learned_ms = max(LEAST_IDLE_MS, FORGOTTEN_SHARE * rested_ms)
-            self._learned_at = clock.now()
+    def record_idle_loss(self, idle_ms: ids.Milliseconds) -> None:
+        """Shorten the idle timeout after the loss of an idle connection.
 
-    def note_keep_alive(self, told: bytes) -> None:
-        """Take in how long the backend server says that it keeps idle connections.
+        :param idle_ms: idle time before the call that got no byte of an answer.
+        """
+        timeout_ms = self.idle_timeout_ms
+        if MIN_IDLE_TIMEOUT_MS < idle_ms <= timeout_ms:
+            self._observed_ms = max(MIN_IDLE_TIMEOUT_MS, IDLE_LOSS_FRACTION * idle_ms)
+            self._observed_at = clock.now()
+
+    def update_keep_alive(self, value: bytes) -> None:
+        """Update the advertised timeout of idle connections.
 
-        :param told: the header's value; it is mostly the same as the last time.
+        :param value: the value of the ``Keep-Alive`` header.
         """
-        if told == self._told:
+        if value == self._keep_alive:
             return
-        self._told = told
-        if found := _KEEP_ALIVE.search(told):
-            self._told_ms = TOLD_SHARE * 1000.0 * int(found[1])
+        self._keep_alive = value
+        if match := _KEEP_ALIVE.search(value):
+            self._advertised_ms = KEEP_ALIVE_FRACTION * 1000.0 * int(match[1])
 
     async def connect(
         self, timeout_s: float = CONNECT_TIMEOUT_S
     ) -> backend_http.Connection:
         """Open a connection.
 
-        :raises OSError: when it cannot be opened in time.
+        :raises OSError: if it cannot be opened in time.
         """
         loop = asyncio.get_running_loop()
         host, port = self._address
@@ -126,17 +126,17 @@
         return protocol
 
     def put(self, connection: backend_http.Connection) -> None:
-        """Take a connection back."""
+        """Return a connection to the pool."""
         connection.idle_since = clock.now()
         self._idle.append(connection)
 
     def discard(self, connection: backend_http.Connection) -> None:
-        """Forget a lost connection."""
+        """Remove a lost connection."""
         if connection in self._idle:
             self._idle.remove(connection)
 
     def close_idle(self) -> None:
-        """Close what has been idle for long."""
-        horizon = clock.now() - self.idle_bound_ms
+        """Close the connections that exceed the idle timeout."""
+        horizon = clock.now() - self.idle_timeout_ms
         while self._idle and self._idle[0].idle_since < horizon:
             self._idle.popleft().abandon()
--- a/src/gingerturn/internal/shell/caller_limits.py
+++ b/src/gingerturn/internal/shell/caller_limits.py
@@ -1,4 +1,4 @@
-"""Bounds on what callers send, and on how long their connections may take."""
+"""Limits of callers' requests and connections."""
 
 import typing
 
@@ -8,13 +8,12 @@
 if typing.TYPE_CHECKING:
     from gingerturn.internal.shell import node as nodes
 
-CHECK_MS = 250.0
-"""How often connections are looked at. Bounds on time are seconds long, so a quarter of
-a second more does no harm, and a timer for each connection would cost more."""
+CHECK_INTERVAL_MS = 250.0
+"""Interval between checks of all connections, which avoid a timer per connection."""
 
 
-def in_force(node: "nodes.Node") -> routes.RequestLimits:
-    """Return the bounds of the route table in force; those of the settings without."""
+def effective(node: "nodes.Node") -> routes.RequestLimits:
+    """Return the limits of the current route table; without one, of the settings."""
     index = node.state.routes
     if index is not None:
         return index.table.limits
@@ -27,7 +26,7 @@
     )
 
 
-def check_times(node: "nodes.Node", now: ids.Milliseconds) -> None:
-    """End the connections that take too long."""
+def check_connections(node: "nodes.Node", now: ids.Milliseconds) -> None:
+    """Close the connections that exceed a timeout."""
     for connection in list(node.caller_connections):
-        connection.check_time(now)
+        connection.check_timeout(now)
--- a/src/gingerturn/internal/shell/caller_requests.py
+++ b/src/gingerturn/internal/shell/caller_requests.py
@@ -1,4 +1,4 @@
-"""One request of a caller: what is kept of it, and what its head says."""
+"""Requests of callers: their state, and the contents of their heads."""
 
 import collections.abc
 import hashlib
@@ -13,21 +13,21 @@
 if typing.TYPE_CHECKING:
     from gingerturn.internal.shell import ingress, node as nodes
 
-WINDOW = 262_144
-"""Bytes of a streamed body that may be under way without the receiver's word."""
+WINDOW_BYTES = 262_144
+"""Bytes of a streamed body that may be sent ahead of the receiver's credit."""
 
 FINGERPRINT_BODY_BYTES = 4_096
-"""Of a body that is not held whole this much tells requests apart; as much is always
-held when a request is sent on."""
+"""Length of the prefix of a streamed body that goes into the fingerprint. At least as
+much is buffered when a request is dispatched."""
 
 BodySink = collections.abc.Callable[[bytes, bool], None]
-"""Takes a piece of a body and whether it is the last."""
+"""Called with a piece of a body and whether it is the last one."""
 
 
 class Request:
     """One request of a caller, from its head to the end of its answer.
 
-    :param call: id under which the core knows it.
+    :param connection: the connection that it arrived on.
     """
 
     def __init__(self, connection: "ingress.CallerConnection") -> None:
@@ -37,25 +37,25 @@
         self.target = b""
         self.method = b""
         self.headers: list[heads.Header] = []
-        # The first value of each header, once the head is whole.
+        # The first value of each header, once the head is complete.
         self.values: dict[bytes, bytes] = {}
         self.body = bytearray()
         self.body_bytes = 0
         self.complete = False
         self.dispatched = False
         self.answered = False
-        self.streaming_in: BodySink | None = None
+        self.body_sink: BodySink | None = None
         self.streaming_out = False
         self.chunked_out = False
         self.head = b""
         self.close_after = False
         self.request_id = b""
-        self.credit = WINDOW
-        self.resume_credit: typing.Callable[[int], None] | None = None
-        self.owed_credit = 0
+        self.credit = WINDOW_BYTES
+        self.grant_credit: typing.Callable[[int], None] | None = None
+        self.withheld_credit = 0
 
-    def end_head(self) -> None:
-        """Make the headers ready for look-ups."""
+    def index_headers(self) -> None:
+        """Index the headers by name."""
         self.values = dict(reversed(self.headers))
 
     def __repr__(self) -> str:
@@ -63,10 +63,10 @@
 
 
 def framing_problem(request: Request, version: str, *, api_key: bytes = b"") -> str:
-    """Return what is wrong with a head, or an empty string.
+    """Return the fault in a head; empty if there is none.
 
-    A request whose length two parties could read differently is refused: that is
-    how requests are smuggled past one of them. So is one with two API keys.
+    Requests of ambiguous length allow request smuggling and are rejected, as are those
+    with several API keys.
 
     :param api_key: name of the header that holds the API key.
     """
@@ -93,8 +93,8 @@
     return ""
 
 
-def announced_length(request: Request) -> int:
-    """Return the length of the body that the head announces; 0 for none."""
+def declared_length(request: Request) -> int:
+    """Return the Content-Length; 0 if it is missing or not a number."""
     text = text_header(request, b"content-length")
     return int(text) if text.isdigit() else 0
 
@@ -114,21 +114,23 @@
     return service, path, target
 
 
-def trace_of(request: Request, dialect: dialects.Dialect) -> tuple[str, ids.SpanId]:
-    """Return what stands for the request, and for what it is part of."""
+def trace_context(
+    request: Request, dialect: dialects.Dialect
+) -> tuple[str, ids.SpanId]:
+    """Return the trace id of a request and the id of its parent span."""
     if dialect.lineage and request.request_id:
         parent = request.request_id.rpartition(dialect.lineage)[0]
         own = request.request_id.decode("latin-1")
         return own, ids.SpanId(parent.decode("latin-1") or own)
-    known = heads.parse_traceparent(request.values.get(dialects.TRACEPARENT, b""))
-    if known is not None:
-        return known
-    fresh = os.urandom(24).hex()
-    return fresh[:32], ids.SpanId(fresh[32:])
+    traceparent = heads.parse_traceparent(request.values.get(dialects.TRACEPARENT, b""))
+    if traceparent is not None:
+        return traceparent
+    random_hex = os.urandom(24).hex()
+    return random_hex[:32], ids.SpanId(random_hex[32:])
 
 
 def header(request: Request, wanted: bytes) -> bytes:
-    """Return the value of a header; empty where it is missing."""
+    """Return the value of a header; empty if it is missing."""
     return request.values.get(wanted, b"").strip()
 
 
@@ -138,18 +140,18 @@
 
 
 def number_header(request: Request, wanted: bytes) -> float:
-    """Return the number in a header; 0 where there is none."""
+    """Return the number in a header; 0 if there is none."""
     text = text_header(request, wanted)
     return float(text) if text.isdigit() and len(text) <= 9 else 0.0
 
 
 def digest(body: bytes | bytearray) -> str:
-    """Return a digest of a body, by which two are told apart."""
+    """Return a digest of a body."""
     return hashlib.blake2b(body, digest_size=16).hexdigest()
 
 
 def api_key_digest(request: Request, dialect: dialects.Dialect) -> str:
-    """Return the digest of the API key in the head; empty where there is none."""
+    """Return the digest of the API key in the head; empty if there is none."""
     key = request.values.get(dialect.api_key)
     return "" if key is None else routes.key_digest(key.strip())
 
@@ -157,15 +159,14 @@
 def fingerprint(
     request: Request, service: str, body_digest: str, key_digest: str = ""
 ) -> ids.Fingerprint:
-    """Return what is the same whenever a request is sent: by any caller's connection,
-    through any node, under any id.
+    """Return the fingerprint, which is equal for every repeat of a request.
 
-    Who is asked, for what, with which body, in whose name. Headers that change from
-    one sending to the next are left out, as is the entry node.
+    It covers method, service, target, body and credentials. The entry node, the
+    connection, ids and headers that differ between repeats are left out.
     """
     body = body_digest
     if not request.complete:
-        # How much of a long body has come in by now is chance.
+        # The length of the buffered part varies, so only a fixed prefix counts.
         body = digest(request.body[:FINGERPRINT_BODY_BYTES])
     parts = (
         request.method,
@@ -176,18 +177,19 @@
         request.values.get(b"content-length", b""),
         body.encode(),
     )
-    found = hashlib.blake2b(b"\0".join(parts), digest_size=ids.FINGERPRINT_BYTES)
-    return ids.Fingerprint(int.from_bytes(found.digest()))
+    hashed = hashlib.blake2b(b"\0".join(parts), digest_size=ids.FINGERPRINT_BYTES)
+    return ids.Fingerprint(int.from_bytes(hashed.digest()))
 
 
 def request_head(request: Request, target: bytes, node: "nodes.Node") -> bytes:
-    """Return the head that goes to the backend server, without its end.
+    """Return the head for the backend server, without the final empty line.
 
-    Framing is written anew: the length of a held body, or as announced.
+    Framing headers are rewritten: with the length of a buffered body, else with the
+    framing of the caller.
     """
     dialect = node.dialect
     lines = request.method + b" " + target + b" HTTP/1.1\r\n"
-    lines += heads.passed_on(request.headers, without=node.written_headers)
+    lines += heads.forwarded_lines(request.headers, without=node.written_headers)
     if dialect.caller_service:
         own = node.settings.backend.service.encode()
         lines += b"%b: %b\r\n" % (dialect.caller_service, own)
@@ -195,7 +197,7 @@
         if request.body or request.method in {b"POST", b"PUT", b"PATCH"}:
             lines += b"content-length: %d\r\n" % len(request.body)
         return lines
-    announced = request.values.get(b"content-length")
-    if announced is not None:
-        return lines + b"content-length: %b\r\n" % announced
+    content_length = request.values.get(b"content-length")
+    if content_length is not None:
+        return lines + b"content-length: %b\r\n" % content_length
     return lines + b"transfer-encoding: chunked\r\n"
--- a/src/gingerturn/internal/shell/entry.py
+++ b/src/gingerturn/internal/shell/entry.py
@@ -1,4 +1,4 @@
-"""The entry side of the shell: callers' requests and their attempts."""
+"""Requests of callers at the entry node, and their attempts."""
 
 import collections.abc
 import typing
@@ -16,7 +16,7 @@
 
 
 class PendingAttempt:
-    """An attempt whose answer, or the end of whose answer, is awaited."""
+    """An attempt whose answer has not arrived, or is still streamed."""
 
     def __init__(
         self, request: caller_requests.Request, carrier: links.Carrier
@@ -28,19 +28,19 @@
 
 
 class EntrySide:
-    """Requests that callers wait for, and the attempts that carry them.
+    """Open requests of callers, and their attempts.
 
-    :param node: the node.
+    :param node: this node.
     """
 
     def __init__(self, node: "nodes.Node") -> None:
         self._node = node
         self._requests: dict[ids.CallId, tuple[caller_requests.Request, float]] = {}
         self._attempts: dict[int, PendingAttempt] = {}
-        self._elapsed: list[ids.Milliseconds] = []
+        self._durations_ms: list[ids.Milliseconds] = []
 
     def handlers(self) -> "nodes.Handlers":
-        """Return the effects that are carried out here."""
+        """Return the handlers of the effects on requests and attempts."""
         return {
             effects.OpenAttempt: self._open_attempt,
             effects.CancelAttempt: self._cancel_attempt,
@@ -51,20 +51,20 @@
     def begin_request(
         self, request: caller_requests.Request, arrival: events.CallArrived
     ) -> None:
-        """Take a caller's request."""
+        """Register a request and apply its arrival to the core."""
         self._requests[request.call] = (request, arrival.now)
         self._node.apply(arrival)
 
     def forget_request(self, request: caller_requests.Request) -> None:
-        """Forget a request that is answered, or whose caller is gone."""
-        known = self._requests.pop(request.call, None)
-        if known is not None and request.answered:
-            self._elapsed.append(clock.now() - known[1])
+        """Remove a request that is answered, or whose caller disconnected."""
+        removed = self._requests.pop(request.call, None)
+        if removed is not None and request.answered:
+            self._durations_ms.append(clock.now() - removed[1])
             self._node.counters.answered += 1
         self._drop_attempt_of(request)
 
     def on_frame(self, frame: frames.Frame) -> None:
-        """Take a frame from a home node."""
+        """Handle a frame from a home node."""
         pending = self._attempts.get(frame.call)
         if pending is None:
             return
@@ -98,16 +98,16 @@
             pending.request.connection.add_credit(pending.request, frame.count)
         elif isinstance(frame, frames.Broken):
             self._drop_attempt(frame.call, cancel=False)
-            pending.request.connection.cut(pending.request)
+            pending.request.connection.abort(pending.request)
 
     def on_lost(self, call: int, *, reached: bool) -> None:
-        """Take the loss of the connection that carried an attempt."""
+        """Handle the loss of the connection that carried an attempt."""
         pending = self._attempts.pop(call, None)
         if pending is None:
             return
-        pending.request.streaming_in = None
+        pending.request.body_sink = None
         if pending.relaying:
-            pending.request.connection.cut(pending.request)
+            pending.request.connection.abort(pending.request)
             return
         self._node.apply(
             events.AttemptLost(
@@ -116,18 +116,20 @@
         )
 
     def record_durations(self) -> None:
-        """Put the durations since the last tick into the histogram, off the way of
-        any call."""
-        for elapsed_ms in self._elapsed:
+        """Record the durations since the last tick in the histogram.
+
+        It runs in the tick, so that no call waits for it.
+        """
+        for elapsed_ms in self._durations_ms:
             value = int(elapsed_ms * 1000.0)
             self._node.durations.record_value(max(1, min(value, MAX_DURATION_US)))
-        self._elapsed.clear()
+        self._durations_ms.clear()
 
     def _open_attempt(self, effect: effects.OpenAttempt) -> None:
-        known = self._requests.get(effect.call)
-        if known is None:
+        registered = self._requests.get(effect.call)
+        if registered is None:
             return
-        request = known[0]
+        request = registered[0]
         self._drop_attempt_of(request)
         carrier = self._node.links.carrier(
             effect.node, ids.Address(effect.host, effect.port)
@@ -182,7 +184,7 @@
             request.connection.send_whole(request, head, answer.body)
             return
         pending.relaying = True
-        request.resume_credit = self._credit_granter(effect.attempt, pending.carrier)
+        request.grant_credit = self._credit_granter(effect.attempt, pending.carrier)
         request.connection.send_streaming(request, head, answer.length)
         request.connection.send_piece(request, answer.body, last=False)
 
@@ -202,14 +204,14 @@
         request.connection.send_piece(request, chunk.body, last=chunk.last)
 
     def _refuse_call(self, effect: effects.RefuseCall) -> None:
-        known = self._requests.get(effect.call)
+        registered = self._requests.get(effect.call)
         counts = self._node.counters.refused
         counts[effect.title] = counts.get(effect.title, 0) + 1
-        if known is not None:
-            known[0].connection.send_problem(known[0], effect)
+        if registered is not None:
+            registered[0].connection.send_problem(registered[0], effect)
 
     def _drop_attempt_of(self, request: caller_requests.Request) -> None:
-        """Cancel the attempt that still carries a request, if any."""
+        """Cancel the open attempt of a request, if any."""
         pending = self._attempts.get(request.attempt)
         if pending is not None and pending.request is request:
             self._drop_attempt(request.attempt, cancel=True)
@@ -224,6 +226,6 @@
 
 
 def _size(request: caller_requests.Request, answer: frames.Answer) -> int:
-    """Return the bytes of a call and its answer, without what follows in pieces."""
-    answered = len(answer.head) + max(len(answer.body), answer.length)
-    return len(request.head) + len(request.body) + answered
+    """Return the bytes of a call and its answer, without streamed pieces."""
+    answer_size = len(answer.head) + max(len(answer.body), answer.length)
+    return len(request.head) + len(request.body) + answer_size
--- a/src/gingerturn/internal/shell/exchanges.py
+++ b/src/gingerturn/internal/shell/exchanges.py
@@ -1,4 +1,4 @@
-"""One call at its home node: between the entry node and the backend server."""
+"""Exchange of a call between the entry node and the backend server."""
 
 import asyncio
 import typing
@@ -14,12 +14,12 @@
     from gingerturn.internal.shell import node as nodes
 
 
-WINDOW = 262_144
-"""Bytes of a streamed body that may be under way without the receiver's word."""
+WINDOW_BYTES = 262_144
+"""Bytes of a streamed body that may be sent ahead of the receiver's credit."""
 
 
-class KeptAnswer(msgspec.Struct, frozen=True):
-    """A whole answer kept for repeats of an unrepeatable call."""
+class StoredAnswer(msgspec.Struct, frozen=True):
+    """A complete answer, stored for repeats of an unrepeatable call."""
 
     status: int
     head: bytes
@@ -27,7 +27,7 @@
 
 
 class Channel(typing.Protocol):
-    """The way back to the entry node."""
+    """The channel to the entry node."""
 
     hosted: dict[int, ids.HostedId]
 
@@ -36,15 +36,15 @@
 
 
 class HostedExchange:
-    """Carries one call to the backend server and its answer back.
+    """Relays one call to the backend server and its answer to the entry node.
 
-    Invariant: frames are only sent while ``_open``; after a cancel, a refusal or
-    the end of the answer the call id means nothing to the entry node any more.
+    Invariant: frames are sent only while ``_open``. After a cancel, a refusal or the
+    end of the answer the entry node no longer has the call id.
 
     :param node: this node.
-    :param channel: the way back.
+    :param channel: the channel to the entry node.
     :param opened: the frame that opened the call.
-    :param hosted: the id under which the core knows it.
+    :param hosted: the id of the call in the core.
     """
 
     def __init__(
@@ -68,13 +68,13 @@
         self._length = -1
         self._body = bytearray()
         self._streaming = False
-        self._credit = WINDOW
+        self._credit = WINDOW_BYTES
 
-    def hand_over(self, effect: effects.DispatchCall) -> None:
-        """Hand the call to the backend server."""
+    def dispatch(self, effect: effects.DispatchCall) -> None:
+        """Dispatch the call to the backend server."""
         pool = self._node.home.pool
-        pool.use(effect.host, effect.port)
-        connection = pool.take(surely_alive=not self._opened.terms.repeatable)
+        pool.set_address(effect.host, effect.port)
+        connection = pool.take(recently_used=not self._opened.terms.repeatable)
         if connection is not None:
             self._begin(connection, effect)
             return
@@ -82,14 +82,14 @@
         self._node.keep_task(task)
 
     def on_chunk(self, chunk: frames.Chunk) -> None:
-        """Take a piece of a long request body."""
+        """Handle a piece of a streamed request body."""
         if self._connection is None:
             self._upload.append(chunk)
             return
         self._write_chunk(chunk)
 
     def add_credit(self, count: int) -> None:
-        """Send more of a long answer."""
+        """Add credit for a streamed answer; resume reading if it is positive."""
         self._credit += count
         if self._credit > 0 and self._connection is not None:
             self._connection.resume()
@@ -105,7 +105,7 @@
             self._connection = None
 
     def detach(self) -> None:
-        """Send nothing more: the entry node gave up."""
+        """Stop sending frames; the entry node no longer waits for the call."""
         self._open = False
 
     def refuse(self, effect: effects.SendRefusal) -> None:
@@ -121,7 +121,7 @@
         self._open = False
 
     def send_answer(self, effect: effects.SendAnswer) -> None:
-        """Send the answer, or its head and first piece when it is long."""
+        """Send the answer; of a streamed one, the head and the first piece."""
         self._send(
             frames.Answer(
                 call=self._opened.call,
@@ -142,30 +142,34 @@
             return
         self._open = False
 
-    def send_kept(self, effect: effects.SendStoredAnswer, kept: KeptAnswer) -> None:
-        """Send the kept answer of an earlier call."""
+    def send_stored(
+        self, effect: effects.SendStoredAnswer, stored: StoredAnswer
+    ) -> None:
+        """Send the stored answer of an earlier call."""
         self._send(
             frames.Answer(
                 call=self._opened.call,
-                status=kept.status,
+                status=stored.status,
                 tokens=effect.tokens,
                 report=effect.report,
                 decision=effect.decision,
-                head=kept.head,
-                body=kept.body,
+                head=stored.head,
+                body=stored.body,
                 whole=True,
             )
         )
         self._open = False
 
-    def kept_answer(self) -> KeptAnswer:
-        """Return the whole answer, to be kept."""
-        return KeptAnswer(status=self._status, head=self._head, body=bytes(self._body))
+    def stored_answer(self) -> StoredAnswer:
+        """Return the complete answer in the form in which it is stored."""
+        return StoredAnswer(
+            status=self._status, head=self._head, body=bytes(self._body)
+        )
 
     # Called by the connection to the backend server.
 
     def on_head(self, status: int, head: bytes, length: int, *, executed: bool) -> None:
-        """Take the head of the answer."""
+        """Handle the head of the answer."""
         self._status = status
         self._executed = executed
         self._head = head
@@ -174,7 +178,7 @@
             self._start_streaming()
 
     def on_body(self, body: bytes) -> None:
-        """Take a piece of the answer: hold it, or send it on."""
+        """Buffer a piece of the answer, or stream it to the entry node."""
         if self._streaming:
             self._send(frames.Chunk(call=self._opened.call, body=body, last=False))
             self._use_credit(len(body))
@@ -184,7 +188,7 @@
             self._start_streaming()
 
     def on_end(self) -> None:
-        """Take the end of the answer."""
+        """Handle the end of the answer."""
         self._connection = None
         if self._streaming:
             self._send(frames.Chunk(call=self._opened.call, body=b"", last=True))
@@ -202,8 +206,8 @@
         self._node.apply(event)
         self._node.home.drop_exchange(self._hosted)
 
-    def on_failure(self, *, handed: bool) -> None:
-        """Take a failure of the exchange."""
+    def on_failure(self, *, dispatched: bool) -> None:
+        """Handle a failure of the exchange."""
         self._connection = None
         if self._abandoned:
             return
@@ -212,7 +216,7 @@
             self._open = False
         self._node.apply(
             events.BackendFailed(
-                now=clock.now(), hosted=self._hosted, dispatched=handed
+                now=clock.now(), hosted=self._hosted, dispatched=dispatched
             )
         )
         if self._hosted not in self._node.state.hosted:
@@ -225,7 +229,7 @@
 
     @property
     def channel(self) -> Channel:
-        """The way back to the entry node."""
+        """The channel to the entry node."""
         return self._channel
 
     def _send(self, frame: frames.Frame) -> None:
@@ -236,7 +240,7 @@
         try:
             connection = await self._node.home.pool.connect()
         except (OSError, TimeoutError):
-            self.on_failure(handed=False)
+            self.on_failure(dispatched=False)
             return
         if self._abandoned:
             self._node.home.pool.put(connection)
--- a/src/gingerturn/internal/shell/heads.py
+++ b/src/gingerturn/internal/shell/heads.py
@@ -1,6 +1,6 @@
-"""Heads of HTTP messages: what is passed on, what is added, and problems.
+"""Heads of HTTP messages: forwarded headers, added headers and problem responses.
 
-The parsing itself is the library's (:mod:`httptools`).
+Messages are parsed by :mod:`httptools`.
 """
 
 import http
@@ -25,12 +25,11 @@
         b"content-length",
     }
 )
-"""Headers of one connection (RFC 9110, 7.6.1) and those about framing, which each
-hop writes itself."""
+"""Connection headers (RFC 9110, 7.6.1) and framing headers, which are not forwarded."""
 
 OWN_PREFIX = b"gingerturn-"
-"""Headers that only this system says; from outside they are dropped, but for the
-timeout of the dialect and the one below, which a caller may send."""
+"""Prefix of the headers of this system, which are not forwarded. Of callers, only the
+timeout of the dialect and :data:`SENDING_HEADER` are read."""
 
 SENDING_HEADER = b"gingerturn-sending"
 KEY_HEADER = b"idempotency-key"
@@ -40,15 +39,15 @@
 _PHRASES = {status.value: status.phrase for status in http.HTTPStatus}
 
 
-def passed_on(
+def forwarded_lines(
     headers: list[Header], *, without: frozenset[bytes] = frozenset()
 ) -> bytes:
-    """Return the header lines that go on to the next hop.
+    """Return the header lines to forward to the next hop.
 
-    :param without: names that do not go on.
+    :param without: names of further headers that are not forwarded.
     """
-    named = _named_by_connection(headers)
-    dropped = without | named if named else without
+    options = _connection_options(headers)
+    dropped = without | options if options else without
     lines = [
         b"%b: %b\r\n" % header
         for header in headers
@@ -59,15 +58,15 @@
     return b"".join(lines)
 
 
-def _named_by_connection(headers: list[Header]) -> frozenset[bytes]:
+def _connection_options(headers: list[Header]) -> frozenset[bytes]:
     for name, value in headers:
         if name == b"connection":
             return frozenset(part.strip().lower() for part in value.split(b","))
     return frozenset()
 
 
-def value_in(head: bytes, name: bytes) -> bytes:
-    """Return the value of a header in a head written by :func:`passed_on`."""
+def find_value(head: bytes, name: bytes) -> bytes:
+    """Return the value of a header in a head written by :func:`forwarded_lines`."""
     if not name:
         return b""
     _, found, rest = head.partition(b"\r\n" + name + b": ")
@@ -75,7 +74,7 @@
 
 
 def status_line(status: int) -> bytes:
-    """Return the first line of an answer."""
+    """Return the status line of an answer."""
     return b"HTTP/1.1 %d %b\r\n" % (status, _PHRASES.get(status, "").encode())
 
 
@@ -91,7 +90,7 @@
     dialect: dialects.Dialect = dialects.OWN,
     request_id: bytes = b"",
 ) -> bytes:
-    """Return a whole answer with an RFC 9457 problem body."""
+    """Return a complete answer with an RFC 9457 problem body."""
     fields: dict[str, object] = {
         "type": "about:blank",
         "title": title,
@@ -111,7 +110,7 @@
     if retry_after_ms > 0:
         seconds = retry_after_ms / 1000.0
         if not dialect.retry_after_fractions:
-            # RFC 9110 knows whole seconds only.
+            # RFC 9110 allows only whole seconds.
             seconds = max(1, round(seconds))
         fields["retry_after_s"] = round(seconds, 3)
         lines.append(b"retry-after: %g\r\n" % round(seconds, 3))
@@ -125,7 +124,7 @@
 
 
 def parse_traceparent(value: bytes) -> tuple[str, ids.SpanId] | None:
-    """Return trace and span of a W3C ``traceparent``; ``None`` for a bad one."""
+    """Return trace and span of a W3C ``traceparent``; ``None`` if it is not valid."""
     parts = value.decode("latin-1").strip().split("-")
     if len(parts) < 4 or len(parts[1]) != 32 or len(parts[2]) != 16:
         return None
--- a/src/gingerturn/internal/shell/home.py
+++ b/src/gingerturn/internal/shell/home.py
@@ -1,4 +1,4 @@
-"""The home side of the shell: calls for the backend server beside this node."""
+"""Calls at the home node, for the backend server of this node."""
 
 import asyncio
 import typing
@@ -12,45 +12,45 @@
     from gingerturn.internal.shell import node as nodes
 
 
-MAX_KEPT_BYTES = 65_536
+MAX_STORED_ANSWER_BYTES = 65_536
 
-CHECK_TIMEOUT_S = 0.05
-"""Nothing that listens on the same instance takes longer to accept a connection; what
-hangs has not ended."""
+CHECK_CONNECT_TIMEOUT_S = 0.05
+"""Timeout of a connection to the same instance. A backend server that does not answer
+in this time has not crashed."""
 
-CHECK_AGAIN_S = (0.01, 0.02, 0.04)
-"""Pauses after which a new connection must still stand. A process that ends closes its
-connections one by one and may close its address last: until then it takes one more,
-and breaks that too. Entry nodes of broken calls wait as long, 10 ms where it stands."""
+CHECK_DELAYS_S = (0.01, 0.02, 0.04)
+"""Delays after which a new connection must still be open. A process that ends may
+accept connections, and close them again, until it closes its listening socket. The
+entry nodes of failed calls wait for the result of the check."""
 
 
 class HomeSide:
-    """Exchanges with the backend server, and answers kept for repeats.
+    """Exchanges with the backend server, and answers stored for repeats.
 
-    :param node: the node.
+    :param node: this node.
     """
 
     def __init__(self, node: "nodes.Node") -> None:
         self._node = node
         self.pool = backend_pool.Pool(node.dialect)
         self._exchanges: dict[ids.HostedId, exchanges.HostedExchange] = {}
-        self._kept: dict[str, exchanges.KeptAnswer] = {}
+        self._stored: dict[str, exchanges.StoredAnswer] = {}
 
     def handlers(self) -> "nodes.Handlers":
-        """Return the effects that are carried out here."""
+        """Return the handlers of the effects on hosted calls."""
         return {
-            effects.DispatchCall: self._hand_over,
+            effects.DispatchCall: self._dispatch,
             effects.CancelBackend: self._cancel_backend,
             effects.CheckBackend: self._check_backend,
             effects.SendAnswer: self._send_answer,
-            effects.SendStoredAnswer: self._send_kept_answer,
-            effects.StoreAnswer: self._keep_answer,
-            effects.DeleteStoredAnswer: self._forget_answer,
+            effects.SendStoredAnswer: self._send_stored_answer,
+            effects.StoreAnswer: self._store_answer,
+            effects.DeleteStoredAnswer: self._delete_stored_answer,
             effects.SendRefusal: self._send_refusal,
         }
 
     def on_frame(self, channel: links.Channel, frame: frames.Frame) -> None:
-        """Take a frame from an entry node."""
+        """Handle a frame from an entry node."""
         if isinstance(frame, frames.Open):
             self._on_open(channel, frame)
             return
@@ -69,7 +69,7 @@
             self.on_cancelled(hosted)
 
     def on_cancelled(self, hosted: ids.HostedId) -> None:
-        """Take the entry node's word, or loss, that ends its interest."""
+        """Cancel a call whose entry node cancelled it or was lost."""
         exchange = self._exchanges.get(hosted)
         if exchange is None:
             return
@@ -77,7 +77,7 @@
         self._node.apply(events.CancelReceived(now=clock.now(), hosted=hosted))
 
     def drop_exchange(self, hosted: ids.HostedId) -> None:
-        """Forget an exchange that has ended."""
+        """Remove an exchange that has ended."""
         exchange = self._exchanges.pop(hosted, None)
         if exchange is not None:
             exchange.channel.hosted.pop(exchange.call, None)
@@ -97,8 +97,8 @@
             )
         )
 
-    def _hand_over(self, effect: effects.DispatchCall) -> None:
-        self._exchanges[effect.hosted].hand_over(effect)
+    def _dispatch(self, effect: effects.DispatchCall) -> None:
+        self._exchanges[effect.hosted].dispatch(effect)
 
     def _cancel_backend(self, effect: effects.CancelBackend) -> None:
         exchange = self._exchanges.get(effect.hosted)
@@ -110,28 +110,28 @@
         self._node.spawn(self._check(effect))
 
     async def _check(self, effect: effects.CheckBackend) -> None:
-        self.pool.use(effect.host, effect.port)
+        self.pool.set_address(effect.host, effect.port)
         refused = False
-        for pause_s in CHECK_AGAIN_S:
-            stands = False
+        for delay_s in CHECK_DELAYS_S:
+            still_open = False
             try:
-                stands = await self._opens(pause_s)
+                still_open = await self._stays_open(delay_s)
             except ConnectionRefusedError:
                 refused = True
             except (OSError, TimeoutError):
-                # Neither word: it may be full, or stand still.
+                # Inconclusive: its backlog may be full, or the process paused.
                 pass
-            if stands or refused:
+            if still_open or refused:
                 break
         self._node.apply(events.BackendChecked(now=clock.now(), refused=refused))
 
-    async def _opens(self, pause_s: float) -> bool:
-        """Tell whether a new connection opens and stands; it serves the next call.
+    async def _stays_open(self, delay_s: float) -> bool:
+        """Whether a new connection is still open after a delay; it joins the pool.
 
-        :raises OSError: when it does not open.
+        :raises OSError: if it cannot be opened.
         """
-        connection = await self.pool.connect(CHECK_TIMEOUT_S)
-        await asyncio.sleep(pause_s)
+        connection = await self.pool.connect(CHECK_CONNECT_TIMEOUT_S)
+        await asyncio.sleep(delay_s)
         if connection.usable:
             self.pool.put(connection)
         return connection.usable
@@ -139,19 +139,19 @@
     def _send_answer(self, effect: effects.SendAnswer) -> None:
         exchange = self._exchanges[effect.hosted]
         if effect.store_key:
-            self._keep(effect.store_key, exchange)
+            self._store(effect.store_key, exchange)
         exchange.send_answer(effect)
 
-    def _send_kept_answer(self, effect: effects.SendStoredAnswer) -> None:
+    def _send_stored_answer(self, effect: effects.SendStoredAnswer) -> None:
         exchange = self._exchanges[effect.hosted]
-        kept = self._kept.get(effect.key)
-        if kept is not None:
-            exchange.send_kept(effect, kept)
+        stored = self._stored.get(effect.key)
+        if stored is not None:
+            exchange.send_stored(effect, stored)
         else:
-            exchange.refuse(self._too_long_to_keep(effect))
+            exchange.refuse(self._already_run_refusal(effect))
         self.drop_exchange(effect.hosted)
 
-    def _too_long_to_keep(
+    def _already_run_refusal(
         self, effect: effects.SendStoredAnswer
     ) -> effects.SendRefusal:
         return effects.SendRefusal(
@@ -166,18 +166,18 @@
             report=effect.report,
         )
 
-    def _keep_answer(self, effect: effects.StoreAnswer) -> None:
+    def _store_answer(self, effect: effects.StoreAnswer) -> None:
         exchange = self._exchanges.get(effect.hosted)
         if exchange is not None:
-            self._keep(effect.key, exchange)
+            self._store(effect.key, exchange)
 
-    def _keep(self, key: str, exchange: exchanges.HostedExchange) -> None:
-        kept = exchange.kept_answer()
-        if len(kept.body) <= MAX_KEPT_BYTES:
-            self._kept[key] = kept
+    def _store(self, key: str, exchange: exchanges.HostedExchange) -> None:
+        answer = exchange.stored_answer()
+        if len(answer.body) <= MAX_STORED_ANSWER_BYTES:
+            self._stored[key] = answer
 
-    def _forget_answer(self, effect: effects.DeleteStoredAnswer) -> None:
-        self._kept.pop(effect.key, None)
+    def _delete_stored_answer(self, effect: effects.DeleteStoredAnswer) -> None:
+        self._stored.pop(effect.key, None)
 
     def _send_refusal(self, effect: effects.SendRefusal) -> None:
         exchange = self._exchanges.get(effect.hosted)
@@ -185,6 +185,6 @@
             return
         exchange.refuse(effect)
         if effect.hosted not in self._node.state.hosted:
-            # Nobody waits for what the backend server may still be doing for it.
+            # No caller waits for the backend server any more.
             exchange.abandon()
             self.drop_exchange(effect.hosted)
--- a/src/gingerturn/internal/shell/http_calls.py
+++ b/src/gingerturn/internal/shell/http_calls.py
@@ -1,7 +1,7 @@
-"""Calls on a log service over HTTP, and what their failures mean.
+"""HTTP client of a log service, and the classification of its failures.
 
-It is written on httpcore, the transport under httpx: importing httpx itself takes
-9 MB of the 64 that a node may use, for what a node does not need.
+It uses httpcore directly, since importing httpx takes 9 MB of the 64 MB of memory that
+a node may use.
 """
 
 import math
@@ -22,14 +22,14 @@
     httpcore.ProtocolError,
     httpcore.UnsupportedProtocol,
 )
-_NEVER_SENT = (httpcore.ConnectError, httpcore.ConnectTimeout)
+_CONNECT_FAILURES = (httpcore.ConnectError, httpcore.ConnectTimeout)
 _T = typing.TypeVar("_T")
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """What the service answered.
+    """An answer of the service.
 
-    :param epoch: of the log, 0 where the answer tells none.
+    :param epoch: epoch of the log; 0 if the answer has none.
     """
 
     status: int
@@ -37,12 +37,12 @@
     epoch: int = 0
 
 
-class Peer:
-    """One service, and the connections to it.
+class Client:
+    """A client of one service, with a pool of connections.
 
     :param url: scheme and address.
-    :param timeout_ms: within which a call that does not wait is answered.
-    :param connections: kept open while idle.
+    :param timeout_ms: timeout of a call, without the waiting time of a long poll.
+    :param connections: largest number of idle connections.
     :param epoch_header: name of the header with the log's epoch, in lower case.
     """
 
@@ -69,14 +69,14 @@
         """Make a call.
 
         :param resource: path and query.
-        :param timeout_ms: within which it is answered, if that is sooner than usual.
-        :param wait_ms: time for which the service was asked to wait for news.
-        :raises LogServiceError: when there is no answer, saying whether the call can
-            have taken effect.
+        :param timeout_ms: timeout of this call, if less than that of the client.
+        :param wait_ms: time for which a long poll may wait for records.
+        :raises LogServiceError: if there is no answer; ``took_effect`` says whether
+            the call may have taken effect.
         """
         timeout_s = min(self._timeout_s, timeout_ms / 1000.0)
-        patience = timeout_s + wait_ms / 1000.0
-        timeouts = dict.fromkeys(("read", "write", "pool"), patience)
+        answer_timeout_s = timeout_s + wait_ms / 1000.0
+        timeouts = dict.fromkeys(("read", "write", "pool"), answer_timeout_s)
         timeouts["connect"] = timeout_s
         try:
             answer = await self._pool.request(
@@ -85,7 +85,7 @@
                 content=body,
                 extensions={"timeout": timeouts},
             )
-        except _NEVER_SENT as error:
+        except _CONNECT_FAILURES as error:
             raise self.error(step, repr(error), took_effect=False) from None
         except _FAILURES as error:
             raise self.error(step, repr(error), took_effect=None) from None
@@ -94,9 +94,10 @@
     def check(
         self, answer: Answer, step: str, *, took_effect: bool | None = False
     ) -> None:
-        """Check that a call was done.
+        """Check the status of an answer.
 
-        :param took_effect: whether one that was not may have been all the same.
+        :param took_effect: whether a call with another status may have taken effect;
+            ``None`` if that is unknown.
         :raises LogServiceError: for any other status than 200.
         """
         if answer.status != HTTP_OK:
@@ -104,9 +105,9 @@
             raise self.error(step, text, took_effect=took_effect, epoch=answer.epoch)
 
     def decode(self, answer: Answer, kind: type[_T], step: str) -> _T:
-        """Return what a JSON answer says.
+        """Decode a JSON answer.
 
-        :raises LogServiceError: for an answer of another form.
+        :raises LogServiceError: if it does not match the type.
         """
         try:
             return msgspec.json.decode(answer.content, type=kind)
@@ -116,13 +117,13 @@
     def error(
         self, step: str, text: str, *, took_effect: bool | None, epoch: int = 0
     ) -> errors.LogServiceError:
-        """Return the error of a call on this service."""
+        """Return an error that names this service."""
         return errors.LogServiceError(
             text, step=step, peer=self._url, took_effect=took_effect, epoch=epoch
         )
 
     def _epoch(self, headers: list[tuple[bytes, bytes]]) -> int:
-        """Return the log's epoch; 0 where the header is missing or no whole number."""
+        """Return the log's epoch; 0 if the header is missing or not valid."""
         for name, value in headers:
             if name.lower() != self._epoch_header:
                 continue
--- a/src/gingerturn/internal/shell/ingress.py
+++ b/src/gingerturn/internal/shell/ingress.py
@@ -1,4 +1,4 @@
-"""Callers' connections: HTTP/1.1 in, whole answers out."""
+"""Connections of callers, over HTTP/1.1."""
 
 import asyncio
 import collections
@@ -24,10 +24,10 @@
 
 
 MAX_PIPELINED = 8
-"""Requests read ahead on one connection before reading pauses."""
+"""Pipelined requests that are read ahead before reading pauses."""
 
 OWN_AUTHORITY = "gingerturn"
-"""The authority under which a node answers callers itself."""
+"""Authority (``Host``) of the requests that the node answers itself."""
 
 _PART = "ingress"
 
@@ -35,10 +35,10 @@
 class CallerConnection(asyncio.Protocol):
     """One connection of a caller; requests on it are served in order.
 
-    Invariants: only ``_requests[0]`` is dispatched, and an answer is only ever
-    written for it; nothing is read any more once there are last words.
+    Invariants: only ``_requests[0]`` is dispatched, and answers are written only for
+    it; input is ignored once ``_final_response`` is set.
 
-    :param node: the node that serves it.
+    :param node: the node that serves the connection.
     """
 
     def __init__(self, node: "nodes.Node") -> None:
@@ -49,22 +49,22 @@
         self._reading: caller_requests.Request | None = None
         self._in_head = False
         self._head_bytes = 0
-        self._unread_bytes = 0
-        self._limits = caller_limits.in_force(node)
-        # When the head that is being read began, or the last request ended.
-        self._since = clock.now()
-        # The answer to bad input, kept until the requests before it have theirs.
-        self._last_words = b""
+        self._unparsed_bytes = 0
+        self._limits = caller_limits.effective(node)
+        # Time at which the head being read began, or the last request ended.
+        self._waiting_since = clock.now()
+        # The error response to bad input; sent after the answers to earlier requests.
+        self._final_response = b""
         self._closing = False
         self._write_paused = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take a new connection."""
+        """Register the connection with the node."""
         self._transport = typing.cast(asyncio.Transport, transport)
         self._node.caller_connections.add(self)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Cancel what the caller waited for."""
+        """Cancel the calls that the caller waited for."""
         self._closing = True
         self._node.caller_connections.discard(self)
         for request in self._requests:
@@ -75,69 +75,69 @@
         self._requests.clear()
 
     def data_received(self, data: bytes) -> None:
-        """Feed the parser; bad input ends the connection with a clear answer."""
-        if self._closing or self._last_words:
+        """Feed the parser; reject input that is not valid and close the connection."""
+        if self._closing or self._final_response:
             return
         try:
-            begun = self._reading if self._in_head else None
+            request = self._reading if self._in_head else None
             self._parser.feed_data(data)
-            if self._in_head and self._reading is begun:
-                # All of it is head. The parser tells a header only once its line is
-                # whole, and would hold a line without an end.
-                self._count_unread(len(data))
+            if self._in_head and self._reading is request:
+                # The parser reports a header only once its line is complete, so the
+                # bytes of an unfinished line are bounded here.
+                self._count_unparsed(len(data))
         except _TooLarge:
             self._reject_head()
         except httptools.HttpParserUpgrade:
             self._reject(400, "upgrades are not served")
         except httptools.HttpParserError as error:
-            reason = error.__context__ if error.__context__ else error
-            if isinstance(reason, _TooLarge):
+            cause = error.__context__ if error.__context__ else error
+            if isinstance(cause, _TooLarge):
                 self._reject_head()
                 return
             self._reject(400, f"not a valid HTTP/1.1 request: {error}")
 
     def pause_writing(self) -> None:
-        """Withhold credit: the caller reads more slowly than the answer comes."""
+        """Withhold credit until the caller has read what is buffered."""
         self._write_paused = True
 
     def resume_writing(self) -> None:
-        """Grant the credit that was withheld."""
+        """Grant the withheld credit."""
         self._write_paused = False
         if not self._requests:
             return
         request = self._requests[0]
-        if request.owed_credit and request.resume_credit is not None:
-            owed, request.owed_credit = request.owed_credit, 0
-            request.resume_credit(owed)
+        if request.withheld_credit and request.grant_credit is not None:
+            withheld, request.withheld_credit = request.withheld_credit, 0
+            request.grant_credit(withheld)
 
-    # Callbacks of the parser, which names them.
+    # Callbacks of httptools.HttpRequestParser.
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
+        """Start a request."""
         self._reading = caller_requests.Request(self)
         self._in_head = True
         self._head_bytes = 0
-        self._unread_bytes = 0
-        self._limits = caller_limits.in_force(self._node)
-        self._since = clock.now()
+        self._unparsed_bytes = 0
+        self._limits = caller_limits.effective(self._node)
+        self._waiting_since = clock.now()
 
     def on_url(self, url: bytes) -> None:
-        """Gather the target; it may come in pieces."""
+        """Append to the target, which may arrive in several pieces."""
         request = self._current()
         request.target += url
         self._count_head(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Gather a header."""
+        """Add a header."""
         request = self._reading or self._current()
         request.headers.append((name.lower(), value))
         self._count_head(len(name) + len(value) + 4)
 
     def on_headers_complete(self) -> None:
-        """Check the head, now that it is whole."""
+        """Check the complete head."""
         self._in_head = False
         request = self._current()
-        request.end_head()
+        request.index_headers()
         request.method = self._parser.get_method()
         request.close_after = not self._parser.should_keep_alive()
         self._requests.append(request)
@@ -148,22 +148,22 @@
         if problem:
             self._reject(400, problem)
             return
-        if caller_requests.announced_length(request) > self._limits.body_bytes:
+        if caller_requests.declared_length(request) > self._limits.body_bytes:
             self._reject_body()
             return
         if b"expect" in request.values and request is self._requests[0]:
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
-        """Take a piece of a body: hold it, or stream it on."""
+        """Buffer a piece of a body, or stream it to the home node."""
         request = self._current()
-        if self._closing or self._last_words:
+        if self._closing or self._final_response:
             return
         request.body_bytes += len(body)
         if request.body_bytes > self._limits.body_bytes:
             self._reject_body()
             return
-        if request.streaming_in is not None:
+        if request.body_sink is not None:
             self._stream_in(request, body)
             return
         request.body += body
@@ -177,28 +177,28 @@
             self._dispatch(request)
 
     def on_message_complete(self) -> None:
-        """Serve the request, now that it is whole, when its turn comes."""
+        """Dispatch the complete request if it is first in line."""
         request = self._current()
         request.complete = True
         self._reading = None
-        if self._closing or self._last_words:
+        if self._closing or self._final_response:
             return
-        if request.streaming_in is not None:
-            request.streaming_in(b"", True)
+        if request.body_sink is not None:
+            request.body_sink(b"", True)
             return
         if len(self._requests) > MAX_PIPELINED:
             self._transport.pause_reading()
         if request is self._requests[0] and not request.dispatched:
             self._dispatch(request)
 
-    # Towards the node.
+    # Called by the node.
 
     def start_streaming(
         self, request: caller_requests.Request, sink: caller_requests.BodySink
     ) -> None:
-        """Send the rest of a long body on as it arrives."""
-        request.streaming_in = sink
-        request.credit = caller_requests.WINDOW - len(request.body)
+        """Stream the rest of a request body to a sink as it arrives."""
+        request.body_sink = sink
+        request.credit = caller_requests.WINDOW_BYTES - len(request.body)
         if request.complete:
             sink(b"", True)
             return
@@ -206,7 +206,7 @@
             self._transport.resume_reading()
 
     def add_credit(self, request: caller_requests.Request, count: int) -> None:
-        """Let more of a long body in."""
+        """Add credit for a streamed request body; resume reading if it is positive."""
         request.credit += count
         if request.credit > 0 and not self._closing:
             self._transport.resume_reading()
@@ -214,11 +214,11 @@
     def send_whole(
         self, request: caller_requests.Request, head: bytes, body: bytes
     ) -> None:
-        """Write a whole answer."""
+        """Write a complete answer."""
         if self._closing:
             return
         if b"\ncontent-length:" not in head:
-            # An answer to HEAD keeps the length that the backend server told.
+            # An answer to HEAD has the Content-Length of the backend server.
             head += b"content-length: %d\r\n" % len(body)
         without_body = request.method == b"HEAD"
         self._write_head(request, head, b"" if without_body else body)
@@ -227,7 +227,7 @@
     def send_streaming(
         self, request: caller_requests.Request, head: bytes, length: int
     ) -> None:
-        """Write the head of a long answer; its body follows in pieces."""
+        """Write the head of a streamed answer; :meth:`send_piece` writes its body."""
         if self._closing:
             return
         request.streaming_out = True
@@ -241,7 +241,7 @@
     def send_piece(
         self, request: caller_requests.Request, body: bytes, *, last: bool
     ) -> None:
-        """Write a piece of a long answer and grant credit for as much."""
+        """Write a piece of a streamed answer and grant credit for its length."""
         if self._closing:
             return
         if body and request.chunked_out:
@@ -254,22 +254,22 @@
             self._finish(request)
             return
         if self._write_paused:
-            request.owed_credit += len(body)
-        elif request.resume_credit is not None:
-            request.resume_credit(len(body))
+            request.withheld_credit += len(body)
+        elif request.grant_credit is not None:
+            request.grant_credit(len(body))
 
-    def cut(self, request: caller_requests.Request) -> None:
-        """End a long answer that cannot be completed.
+    def abort(self, request: caller_requests.Request) -> None:
+        """Abort a streamed answer that cannot be completed.
 
-        The caller sees fewer bytes than announced, or no last chunk, and so never
-        takes the fragment for the answer.
+        The caller sees a body shorter than Content-Length, or no last chunk, and so
+        detects the truncation.
         """
         self._transport.abort()
 
     def send_problem(
         self, request: caller_requests.Request, refusal: effects.RefuseCall
     ) -> None:
-        """Write a problem, at once."""
+        """Write a problem response."""
         if self._closing or request.answered:
             return
         close = request.close_after or not request.complete
@@ -294,20 +294,20 @@
         """Whether no request is being served or read."""
         return not self._requests and self._reading is None
 
-    def check_time(self, now: ids.Milliseconds) -> None:
-        """End a connection whose request's head, or next request, does not come."""
+    def check_timeout(self, now: ids.Milliseconds) -> None:
+        """Close the connection if a head or the next request did not arrive in time."""
         if self._requests or self._closing:
             return
-        limits = caller_limits.in_force(self._node)
-        waited = now - self._since
+        limits = caller_limits.effective(self._node)
+        elapsed = now - self._waiting_since
         if self._reading is not None:
-            if waited > limits.head_timeout_ms:
+            if elapsed > limits.head_timeout_ms:
                 self._reject(408, "the request's head took too long")
-        elif waited > limits.idle_timeout_ms:
+        elif elapsed > limits.idle_timeout_ms:
             self.close()
 
     def close(self) -> None:
-        """Close the connection once what was written is sent."""
+        """Close the connection after the write buffer is flushed."""
         self._closing = True
         self._transport.close()
 
@@ -321,18 +321,18 @@
         if self._head_bytes > self._limits.head_bytes:
             raise _TooLarge
 
-    def _count_unread(self, count: int) -> None:
-        self._unread_bytes += count
-        if self._unread_bytes > self._limits.head_bytes:
+    def _count_unparsed(self, count: int) -> None:
+        self._unparsed_bytes += count
+        if self._unparsed_bytes > self._limits.head_bytes:
             raise _TooLarge
 
     def _stream_in(self, request: caller_requests.Request, body: bytes) -> None:
-        if request.streaming_in is None:
+        if request.body_sink is None:
             return
         request.credit -= len(body)
         if request.credit <= 0:
             self._transport.pause_reading()
-        request.streaming_in(body, False)
+        request.body_sink(body, False)
 
     def _dispatch(self, request: caller_requests.Request) -> None:
         request.dispatched = True
@@ -345,7 +345,7 @@
         if dialect.request_id:
             request.request_id = caller_requests.header(request, dialect.request_id)
         if service == OWN_AUTHORITY:
-            self._answer_own(request, path)
+            self._answer_ticket_request(request, path)
             return
         if not self._node.state.routed and not self._node.knows_service(service):
             self._answer_unknown(request, service)
@@ -360,7 +360,7 @@
             except errors.InvalidArgument as error:
                 self._reject(400, error.message, request)
                 return
-        trace, span = caller_requests.trace_of(request, dialect)
+        trace, span = caller_requests.trace_context(request, dialect)
         digest = caller_requests.digest(request.body) if request.body else ""
         key_digest = caller_requests.api_key_digest(request, dialect)
         request.head = caller_requests.request_head(request, target, self._node)
@@ -385,8 +385,10 @@
         )
         self._node.entry.begin_request(request, arrival)
 
-    def _answer_own(self, request: caller_requests.Request, path: str) -> None:
-        """Mint a ticket: ``POST /tickets/SERVICE`` with ``Host: gingerturn``."""
+    def _answer_ticket_request(
+        self, request: caller_requests.Request, path: str
+    ) -> None:
+        """Answer ``POST /tickets/SERVICE`` with ``Host: gingerturn``."""
         service = ids.ServiceName(path.removeprefix("/tickets/"))
         holder = ""
         if request.method == b"POST" and path.startswith("/tickets/"):
@@ -420,8 +422,7 @@
             request.close_after = True
         if request.close_after:
             head += b"connection: close\r\n"
-        # One call of the system for both: each costs as much as a tenth of the rest
-        # of a call here.
+        # Head and body go out in one system call.
         self._transport.writelines((head, b"\r\n", body))
 
     def _finish(self, request: caller_requests.Request) -> None:
@@ -430,9 +431,9 @@
         self._node.entry.forget_request(request)
         if self._requests and self._requests[0] is request:
             self._requests.popleft()
-        self._since = clock.now()
-        if self._last_words and not self._requests:
-            self._end_with_last_words()
+        self._waiting_since = clock.now()
+        if self._final_response and not self._requests:
+            self._send_final_response()
             return
         if request.close_after or self._node.stopping:
             self.close()
@@ -444,25 +445,26 @@
                 self._dispatch(following)
 
     def _reject_head(self) -> None:
-        most = self._limits.head_bytes
-        self._reject(431, f"the request's head is longer than {most} bytes")
+        limit = self._limits.head_bytes
+        self._reject(431, f"the request's head is longer than {limit} bytes")
 
     def _reject_body(self) -> None:
-        most = self._limits.body_bytes
-        self._reject(413, f"the request's body is longer than {most} bytes")
+        limit = self._limits.body_bytes
+        self._reject(413, f"the request's body is longer than {limit} bytes")
 
     def _reject(
         self, status: int, title: str, bad: caller_requests.Request | None = None
     ) -> None:
-        """Answer bad input and close: what follows on the connection cannot be
-        told apart from the rest of the bad request.
+        """Answer bad input and close the connection.
+
+        The bytes that follow cannot be separated from the rest of the bad request.
 
-        :param bad: the bad request; without one, what is being read.
+        :param bad: the bad request; ``None`` for the one that is being read.
         """
-        if self._closing or self._last_words:
+        if self._closing or self._final_response:
             return
         logs.write("WARNING", _PART, f"Request rejected with {status}: {title[:120]}.")
-        self._last_words = heads.problem(
+        self._final_response = heads.problem(
             status=status,
             outcome=messages.Outcome.NOT_RUN,
             title=title[:200],
@@ -473,25 +475,28 @@
         )
         self._drop_from(bad or self._reading)
         if not self._requests:
-            self._end_with_last_words()
+            self._send_final_response()
 
     def _drop_from(self, bad: caller_requests.Request | None) -> None:
-        """Forget a bad request and those behind it. Those before it are answered
-        first: else the answer to it would be read as the answer to one of them."""
+        """Drop a bad request and those after it.
+
+        Earlier requests are answered first, since a caller matches answers to requests
+        by their order.
+        """
         if bad is None or bad not in self._requests:
             return
         while self._requests.pop() is not bad:
             pass
         if bad.answered:
-            self._last_words = b""
+            self._final_response = b""
         if bad.dispatched:
             self._node.apply(events.CallerGone(now=clock.now(), call=bad.call))
             self._node.entry.forget_request(bad)
 
-    def _end_with_last_words(self) -> None:
-        self._transport.write(self._last_words)
+    def _send_final_response(self) -> None:
+        self._transport.write(self._final_response)
         self.close()
 
 
 class _TooLarge(Exception):
-    """The head exceeds its bound."""
+    """The head exceeds ``head_bytes``."""
--- a/src/gingerturn/internal/shell/log_client.py
+++ b/src/gingerturn/internal/shell/log_client.py
@@ -46,7 +46,7 @@
 
     def __init__(self, chosen: settings.Log) -> None:
         self._poll_ms = chosen.poll_ms
-        self._peer = http_calls.Peer(
+        self._peer = http_calls.Client(
             chosen.url.rstrip("/"),
             timeout_ms=chosen.timeout_ms,
             connections=8,
--- a/src/gingerturn/internal/shell/node.py
+++ b/src/gingerturn/internal/shell/node.py
@@ -381,8 +381,8 @@
     def _check_callers(self) -> None:
         now = clock.now()
         if now >= self._check_callers_at:
-            self._check_callers_at = now + caller_limits.CHECK_MS
-            caller_limits.check_times(self, now)
+            self._check_callers_at = now + caller_limits.CHECK_INTERVAL_MS
+            caller_limits.check_connections(self, now)
 
     def _publish_ended(self, effect: effects.PublishEnded) -> None:
         future = self._publications.pop(effect.request, None)
--- a/src/gingerturn/internal/shell/tickets.py
+++ b/src/gingerturn/internal/shell/tickets.py
@@ -1,9 +1,8 @@
-"""Tickets: keys that name the one node that may run them.
+"""Tickets: idempotency keys that are bound to one incarnation of a home node.
 
-A ticket is minted by any node for a home node in its present incarnation, and only
-that incarnation runs it; it remembers in memory which it has run. So a call with a
-ticket needs no claim on the log and goes on while the log is down. A keyed MAC keeps
-callers from making up tickets of their own.
+Any node mints them. Only the named incarnation runs a call with the ticket. It records
+the used tickets in memory, so that the call needs no claim in the log and is served
+while the log is unavailable. A MAC prevents callers from forging tickets.
 """
 
 import hmac
@@ -20,43 +19,46 @@
 def mint(
     secret: bytes, *, holder: str, service: ids.ServiceName, now: ids.Milliseconds
 ) -> str:
-    """Return a fresh ticket.
+    """Return a new ticket.
 
     :param holder: the home node as ``node/incarnation``.
     """
     node, _, incarnation = holder.rpartition("/")
-    unique = os.urandom(12).hex()
-    text = f"{PREFIX}{int(now)}.{unique}.{incarnation}.{service}.{node}"
-    return f"{text}.{_proof(secret, text)}"
+    nonce = os.urandom(12).hex()
+    text = f"{PREFIX}{int(now)}.{nonce}.{incarnation}.{service}.{node}"
+    return f"{text}.{_ticket_mac(secret, text)}"
 
 
 def is_ticket(key: str) -> bool:
-    """Tell whether a key has the form of a ticket."""
+    """Whether a key has the form of a ticket."""
     return key.startswith(PREFIX)
 
 
 def check(
     secrets: list[bytes], key: str, *, service: str, now: ids.Milliseconds
 ) -> str:
-    """Return the holder of a ticket, as ``node/incarnation``.
+    """Verify a ticket and return its holder, as ``node/incarnation``.
 
-    :raises InvalidArgument: when it is not authentic, of another service, or older
-        than keys count.
+    :param secrets: the secrets whose MAC is accepted.
+    :raises InvalidArgument: if the ticket is not authentic, is one of another service,
+        or was not minted within :data:`keys.KEY_WINDOW_MS`.
     """
-    text, _, proof = key.rpartition(".")
-    if not any(hmac.compare_digest(_proof(s, text), proof) for s in secrets):
+    text, _, tag = key.rpartition(".")
+    if not any(
+        hmac.compare_digest(_ticket_mac(secret, text), tag) for secret in secrets
+    ):
         raise _invalid("the ticket is not authentic")
-    # Names may hold dots themselves, so the parts before them are split off first.
-    stamp, _, incarnation, rest = text.removeprefix(PREFIX).split(".", 3)
+    # Names may contain dots, so the fields before them are split off first.
+    minted_at, _, incarnation, rest = text.removeprefix(PREFIX).split(".", 3)
     if not rest.startswith(f"{service}."):
         raise _invalid(f"the ticket is not one of service {service!r}")
-    if not now - keys.KEY_WINDOW_MS <= float(stamp) <= now + keys.CLOCK_SKEW_MS:
+    if not now - keys.KEY_WINDOW_MS <= float(minted_at) <= now + keys.CLOCK_SKEW_MS:
         raise _invalid("the ticket is older than 15 minutes; get a new one")
     node = rest.removeprefix(f"{service}.")
     return f"{node}/{incarnation}"
 
 
-def _proof(secret: bytes, text: str) -> str:
+def _ticket_mac(secret: bytes, text: str) -> str:
     return datagrams.mac(secret, b"ticket|" + text.encode("utf-8")).hex()
 
 
--- a/tests/cover/test_abandoned_exchanges.py
+++ b/tests/cover/test_abandoned_exchanges.py
@@ -39,12 +39,12 @@
 def connection(monkeypatch: pytest.MonkeyPatch) -> _Connection:
     made = _Connection()
 
-    def hand_over(
+    def dispatch(
         exchange: exchanges.HostedExchange, effect: effects.DispatchCall
     ) -> None:
         exchange._connection = made  # type: ignore[assignment]
 
-    monkeypatch.setattr(exchanges.HostedExchange, "hand_over", hand_over)
+    monkeypatch.setattr(exchanges.HostedExchange, "dispatch", dispatch)
     return made
 
 
--- a/tests/cover/test_backend_answers.py
+++ b/tests/cover/test_backend_answers.py
@@ -33,7 +33,7 @@
     def on_end(self) -> None:
         self.ends += 1
 
-    def on_failure(self, *, handed: bool) -> None:
+    def on_failure(self, *, dispatched: bool) -> None:
         self.failures += 1
 
     def receive(self, *segments: bytes) -> None:
--- a/tests/cover/test_backend_checks.py
+++ b/tests/cover/test_backend_checks.py
@@ -30,7 +30,7 @@
         self._found = found
         self.kept: list[_Connection] = []
 
-    def use(self, host: str, port: int) -> None:
+    def set_address(self, host: str, port: int) -> None:
         assert (host, port) == (CHECK.host, CHECK.port)
 
     async def connect(self, timeout_s: float) -> _Connection:
--- a/tests/cover/test_caller_limits.py
+++ b/tests/cover/test_caller_limits.py
@@ -1,4 +1,4 @@
-"""What callers may send, and how long their connections may take."""
+"""Limits of callers' requests and connections."""
 
 import re
 
@@ -50,7 +50,7 @@
             self.connection.data_received(piece)
 
     def pass_time(self, elapsed_ms: float) -> None:
-        caller_limits.check_times(self.node, clock.now() + elapsed_ms)
+        caller_limits.check_connections(self.node, clock.now() + elapsed_ms)
 
 
 GET = b"GET /a/ HTTP/1.1\r\nhost: shop.example\r\n\r\n"
@@ -109,7 +109,7 @@
     assert not caller.dispatched
 
 
-def test_a_head_that_takes_too_long_is_told_that_it_did_not_run() -> None:
+def test_a_head_that_takes_too_long_gets_a_408_with_outcome_not_run() -> None:
     caller = Caller()
     caller.send(b"GET /a/ HTTP/1.1\r\n")
     caller.pass_time(2_900)
@@ -144,7 +144,7 @@
 
 
 def test_bad_input_behind_a_request_is_not_answered_in_its_place() -> None:
-    # The 400 was written at once, and the caller read it as the answer to the first.
+    # An early 400 would be read as the answer to the first request.
     caller = Caller()
     caller.send(GET, b"no request at all\r\n\r\n")
     assert caller.statuses == []
@@ -166,7 +166,7 @@
 
 
 def test_a_request_that_is_bad_by_its_host_is_answered_at_once() -> None:
-    # It waited for itself: the first version held its answer back for ever.
+    # The answer to a bad request must not wait for that request itself.
     caller = Caller()
     caller.send(b"GET /a/ HTTP/1.1\r\nhost: \r\n\r\n" + GET)
     assert caller.statuses == [400]
@@ -177,7 +177,7 @@
 @pytest.mark.parametrize(
     "field", ["head_bytes", "body_bytes", "head_timeout_ms", "idle_timeout_ms"]
 )
-def test_a_bound_of_nothing_is_refused_by_name(field: str) -> None:
+def test_a_limit_of_zero_is_rejected_with_the_name_of_its_field(field: str) -> None:
     limits = routes.RequestLimits(**{field: 0})
     table = routes.RouteTable(version=1, routes=(routed.route(),), limits=limits)
     with pytest.raises(errors.InvalidDocument, match=f"{field} is 0; allowed is 1"):
--- a/tests/cover/test_greeting.py
+++ b/tests/cover/test_greeting.py
@@ -1,4 +1,4 @@
-"""The greeting between nodes: nothing of a stranger, all of a peer."""
+"""Handshake between nodes: limits before the proof, frames and compression after it."""
 
 from benchmarks import frame_sizes
 from gingerturn.internal import ids
@@ -16,8 +16,10 @@
     return node, accepted, transport
 
 
-def _greet(accepted: peers.Accepted, transport: transports.Transport) -> bytes:
-    """Return what a dialling peer says to prove itself, after its first word."""
+def _proof_of_dialled(
+    accepted: peers.Accepted, transport: transports.Transport
+) -> bytes:
+    """Return the proof that a dialling peer sends after its hello."""
     _, theirs = _dialled(accepted, transport)
     return bytes(theirs.written)
 
@@ -25,7 +27,7 @@
 def _dialled(
     accepted: peers.Accepted, transport: transports.Transport, *, zone: str = "bne-a"
 ) -> tuple[peers.Dialled, transports.Transport]:
-    """Return the dialling end; its proof is written and not received yet."""
+    """Return the dialling end, whose proof is written but not yet received."""
     dialler = peers.Dialled(
         nodes.Node(builders.settings("entry", zone=zone)), lambda: None, lambda: None
     )
@@ -40,10 +42,9 @@
 
 
 def test_a_long_call_right_behind_the_proof_is_taken() -> None:
-    # A first request with a body of 12 kB reached the home together with the proof,
-    # and the connection was closed for too many bytes of a stranger.
+    # Frames that arrive with the proof do not count as bytes of an unproven peer.
     node, accepted, transport = _accepted()
-    proof = _greet(accepted, transport)
+    proof = _proof_of_dialled(accepted, transport)
     opened: list[int] = []
     node.links.on_accepted_frame = (  # type: ignore[method-assign]
         lambda channel, frame: opened.append(frame.call)
@@ -84,7 +85,7 @@
 def _exchange(*, zone: str) -> tuple[int, int]:
     """Send 20 requests from a zone to one in ``bne-a``, the first with the proof.
 
-    :return: bytes written and those of the same frames when they are plain.
+    :return: bytes written, and bytes of the same frames without compression.
     """
     node, accepted, transport = _accepted()
     opened: list[frames.Frame] = []
@@ -115,7 +116,7 @@
     assert written == plain
 
 
-def test_an_earlier_version_that_tells_no_zone_gets_plain_frames() -> None:
+def test_a_peer_that_sends_no_zone_gets_plain_frames() -> None:
     written, plain = _exchange(zone="")
     assert written == plain
 
--- a/tests/cover/test_idle_connections.py
+++ b/tests/cover/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""How long an idle connection to the backend server is trusted."""
+"""Idle timeout of connections to the backend server."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 
 class Clock:
-    """A clock that tests move."""
+    """A clock that tests advance."""
 
     def __init__(self) -> None:
         self.now = 1_000_000.0
@@ -18,7 +18,7 @@
 
 
 class Backend:
-    """A pool whose connections go nowhere."""
+    """A pool whose connections have no network."""
 
     def __init__(self, time: Clock) -> None:
         self._time = time
@@ -39,7 +39,7 @@
             b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n%b\r\n" % extra
         )
 
-    def forget(self, connection: backend_http.Connection) -> None:
+    def lose(self, connection: backend_http.Connection) -> None:
         self.begin(connection)
         connection.connection_lost(ConnectionResetError())
 
@@ -47,47 +47,47 @@
         self._time.now += elapsed_ms
 
     def on_head(self, status: int, head: bytes, length: int, *, executed: bool) -> None:
-        """Nothing is done with answers here."""
+        """Ignore the answer."""
 
     def on_body(self, body: bytes) -> None:
-        """Nothing is done with answers here."""
+        """Ignore the answer."""
 
     def on_end(self) -> None:
-        """Nothing is done with answers here."""
+        """Ignore the answer."""
 
-    def on_failure(self, *, handed: bool) -> None:
-        assert handed
+    def on_failure(self, *, dispatched: bool) -> None:
+        assert dispatched
         self.failures += 1
 
 
 @pytest.fixture
 def backend(monkeypatch: pytest.MonkeyPatch) -> Backend:
-    """A pool on a clock that the test moves."""
+    """A pool on a clock that the test advances."""
     time = Clock()
     monkeypatch.setattr(clock, "now", time)
     return Backend(time)
 
 
-def test_a_rested_connection_carries_what_may_be_sent_again(backend: Backend) -> None:
+def test_repeatable_calls_use_idle_connections(backend: Backend) -> None:
     connection = backend.connect()
     backend.serve(connection)
     backend.rest(2_900)
     assert backend.pool.take() is connection
 
 
-def test_what_cannot_be_sent_again_goes_only_on_a_connection_just_used(
+def test_unrepeatable_calls_use_only_recently_used_connections(
     backend: Backend,
 ) -> None:
     connection = backend.connect()
     backend.serve(connection)
-    backend.rest(backend_pool.SURELY_ALIVE_MS + 1)
-    assert backend.pool.take(surely_alive=True) is None
+    backend.rest(backend_pool.RECENTLY_USED_MS + 1)
+    assert backend.pool.take(recently_used=True) is None
     backend.serve(connection)
-    backend.rest(backend_pool.SURELY_ALIVE_MS)
-    assert backend.pool.take(surely_alive=True) is connection
+    backend.rest(backend_pool.RECENTLY_USED_MS)
+    assert backend.pool.take(recently_used=True) is connection
 
 
-def test_a_connection_that_was_forgotten_shortens_the_trust_in_others(
+def test_loss_of_an_idle_connection_shortens_the_idle_timeout(
     backend: Backend,
 ) -> None:
     first, second = backend.connect(), backend.connect()
@@ -95,32 +95,34 @@
     backend.serve(second)
     backend.rest(400)
     assert backend.pool.take() is second
-    backend.forget(second)
+    backend.lose(second)
     assert backend.failures == 1
     assert backend.pool.take() is None
 
 
-def test_trust_grows_again_when_nothing_is_forgotten_any_more(backend: Backend) -> None:
+def test_the_idle_timeout_grows_again_without_losses(backend: Backend) -> None:
     connection = backend.connect()
     backend.serve(connection)
     backend.rest(400)
     backend.pool.take()
-    backend.forget(connection)
-    assert backend.pool.idle_bound_ms == 200
-    backend.rest(4 * backend_pool.RELEARN_MS)
-    assert backend.pool.idle_bound_ms == backend_pool.IDLE_MS
+    backend.lose(connection)
+    assert backend.pool.idle_timeout_ms == 200
+    backend.rest(4 * backend_pool.DOUBLING_INTERVAL_MS)
+    assert backend.pool.idle_timeout_ms == backend_pool.MAX_IDLE_TIMEOUT_MS
 
 
-def test_a_connection_lost_in_use_teaches_nothing(backend: Backend) -> None:
+def test_loss_of_a_new_or_just_used_connection_keeps_the_idle_timeout(
+    backend: Backend,
+) -> None:
     new, busy = backend.connect(), backend.connect()
-    backend.forget(new)
+    backend.lose(new)
     backend.serve(busy)
-    backend.rest(backend_pool.LEAST_IDLE_MS)
-    backend.forget(busy)
-    assert backend.pool.idle_bound_ms == backend_pool.IDLE_MS
+    backend.rest(backend_pool.MIN_IDLE_TIMEOUT_MS)
+    backend.lose(busy)
+    assert backend.pool.idle_timeout_ms == backend_pool.MAX_IDLE_TIMEOUT_MS
 
 
-def test_one_that_was_lost_in_the_middle_of_an_answer_teaches_nothing(
+def test_loss_in_the_middle_of_an_answer_keeps_the_idle_timeout(
     backend: Backend,
 ) -> None:
     connection = backend.connect()
@@ -129,10 +131,10 @@
     backend.begin(connection)
     connection.data_received(b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nab")
     connection.connection_lost(ConnectionResetError())
-    assert backend.pool.idle_bound_ms == backend_pool.IDLE_MS
+    assert backend.pool.idle_timeout_ms == backend_pool.MAX_IDLE_TIMEOUT_MS
 
 
-def test_the_time_that_the_backend_server_tells_is_kept_to(backend: Backend) -> None:
+def test_the_advertised_keep_alive_time_is_respected(backend: Backend) -> None:
     connection = backend.connect()
     backend.serve(connection, b"keep-alive: timeout=1, max=9\r\n")
     backend.rest(801)
--- a/tests/cover/test_parsers_take_any_bytes.py
+++ b/tests/cover/test_parsers_take_any_bytes.py
@@ -1,4 +1,4 @@
-"""Arbitrary bytes from callers and backend servers: no crash, nothing invented."""
+"""Parsers of callers' and backend servers' bytes accept arbitrary input."""
 
 import re
 
@@ -45,7 +45,7 @@
 
 
 class Receiver:
-    """Counts what an exchange tells."""
+    """Counts the final callbacks of an exchange."""
 
     def __init__(self) -> None:
         self.ends = 0
@@ -60,7 +60,7 @@
     def on_end(self) -> None:
         self.ends += 1
 
-    def on_failure(self, *, handed: bool) -> None:
+    def on_failure(self, *, dispatched: bool) -> None:
         self.failures += 1
 
 
@@ -73,7 +73,7 @@
     connection.connection_made(transport)
     for piece in pieces:
         connection.data_received(piece)
-    # No service is known here, so every answer is the node's own problem.
+    # No service is known, so every answer is a problem of the node.
     statuses = re.findall(rb"HTTP/1\.1 (\d\d\d) ", bytes(transport.written))
     assert set(statuses) <= {b"100", b"400", b"404", b"431"}
     assert transport.written.count(b"application/problem+json") == sum(
@@ -104,7 +104,7 @@
 
 
 def check_only_clear_framing_is_dispatched(stream: bytes) -> None:
-    """Feed a stream; every request that is dispatched has one clear length."""
+    """Check that every dispatched request of a stream has unambiguous framing."""
     node = nodes.Node(builders.settings())
     node.knows_service = lambda service: True  # type: ignore[method-assign]
     dispatched: list[caller_requests.Request] = []
@@ -128,7 +128,9 @@
     check_only_clear_framing_is_dispatched(stream)
 
 
-def test_that_proof_fails_without_the_check(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_framing_property_fails_without_the_check(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(
         caller_requests, "framing_problem", lambda request, version, **_: ""
     )
@@ -156,11 +158,11 @@
             connection.data_received(piece)
     connection.connection_lost(None)
     assert receiver.ends + receiver.failures == 1
-    # After an end the connection may serve again only if nothing was left over.
+    # The connection returns to the pool at most once, after a complete answer.
     assert len(put) <= receiver.ends
 
 
-def test_ids_are_not_shared_between_calls_and_questions() -> None:
+def test_numbers_of_a_node_are_unique() -> None:
     node = nodes.Node(builders.settings())
     numbers = [node.next_number() for _ in range(5)]
     assert len({ids.CallId(number) for number in numbers}) == 5
--- a/tests/cover/test_restored_log.py
+++ b/tests/cover/test_restored_log.py
@@ -427,7 +427,7 @@
 def test_an_invalid_epoch_header_is_ignored(
     headers: list[tuple[bytes, bytes]], epoch: int
 ) -> None:
-    peer = http_calls.Peer("http://log", timeout_ms=1.0, epoch_header=b"store-era")
+    peer = http_calls.Client("http://log", timeout_ms=1.0, epoch_header=b"store-era")
     assert peer._epoch(headers) == epoch
 
 
--- a/tests/cover/test_silent_connections.py
+++ b/tests/cover/test_silent_connections.py
@@ -1,4 +1,4 @@
-"""Every connection that a node keeps ends when its other end falls silent."""
+"""TCP keepalive and user timeout on every connection that a node keeps open."""
 
 import asyncio
 import socket
@@ -24,7 +24,7 @@
         super().__init__({"socket": self.socket})
 
     def write(self, data: object) -> None:
-        """Nothing is sent."""
+        """Discard the data."""
 
     def is_closing(self) -> bool:
         return False
@@ -50,6 +50,6 @@
     options = transport.socket.options
     assert options[(socket.SOL_SOCKET, socket.SO_KEEPALIVE)] == 1
     assert 0 < options[(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)] <= 3_000
-    found = [socket.TCP_KEEPIDLE, socket.TCP_KEEPINTVL, socket.TCP_KEEPCNT]
-    idle, every, count = (options[(socket.IPPROTO_TCP, option)] for option in found)
-    assert idle + every * count <= 4
+    names = [socket.TCP_KEEPIDLE, socket.TCP_KEEPINTVL, socket.TCP_KEEPCNT]
+    idle, interval, count = (options[(socket.IPPROTO_TCP, option)] for option in names)
+    assert idle + interval * count <= 4
--- a/tests/quality/test_rules_can_be_broken.py
+++ b/tests/quality/test_rules_can_be_broken.py
@@ -208,7 +208,7 @@
     (
         "MIXED",
         backend_http.Connection,
-        "_is_foreign",
+        "_is_mismatched",
         _false,
         answers.test_a_late_answer_to_an_earlier_request_is_discarded,
     ),
@@ -400,7 +400,7 @@
     (
         "request limits",
         caller_limits,
-        "in_force",
+        "effective",
         lambda node: of_routes.routes.RequestLimits(),
         limits.test_a_body_that_is_announced_too_long_is_refused_before_it_is_read,
     ),
