--- a/src/gingerturn/internal/wire/compression.py
+++ b/src/gingerturn/internal/wire/compression.py
@@ -1,27 +1,25 @@
 """Compression of the frames that cross availability zones.
 
-Most of a frame repeats what went before it on the same connection: header names, hosts,
-names of services and kinds. So one deflate stream (RFC 1951) lasts as long as the
-connection, and each frame ends with a flush whose fixed last bytes are left out, as in
-RFC 7692. A request of 269 bytes takes 74 so and costs 7 us at both ends together
-(``benchmarks/frame_sizes.py``). Bytes inside a zone cost nothing and stay plain.
+Most of a frame repeats earlier frames of the same connection: header names, hosts,
+names of services and kinds. So each direction of a connection is one deflate stream
+(RFC 1951), and each frame ends with a sync flush whose fixed tail is omitted, as in
+RFC 7692. Traffic inside a zone is not charged for and stays uncompressed.
 """
 
 import zlib
 
 from gingerturn import errors
 
-MARK = b"\xc1"
-"""In front of compressed content: the one byte that begins no MessagePack."""
+MARKER = b"\xc1"
+"""Prefix of compressed content: the byte that MessagePack never uses."""
 
 MAX_CONTENT = 2_048
-"""Longer content stays plain, in bytes: that is mostly a body, which is the backend
-server's and seldom shrinks, and compressing it takes 0.15 ms for each 2 kB."""
+"""Limit in bytes of content that is compressed. Longer content is mostly a body, whose
+compression takes time and saves little."""
 
 _LEVEL = 1
 _WINDOW_BITS = 11
-"""2 kB, some six frames: twice that saves 4 of 74 bytes and takes 20 kB more memory for
-a connection."""
+"""Base two logarithm of the window size: 2 kB, which bounds memory per connection."""
 
 _MEMORY_LEVEL = 3
 _FLUSH_TAIL = b"\x00\x00\xff\xff"
@@ -30,8 +28,8 @@
 class Deflater:
     """Compresses the frames of one direction of a connection.
 
-    Invariant: whatever :meth:`deflate` returned goes onto the connection, in order;
-    else the other end cannot read what follows.
+    Invariant: every result of :meth:`deflate` is sent, in order; otherwise the peer
+    cannot decompress later frames.
     """
 
     def __init__(self) -> None:
@@ -40,26 +38,26 @@
         )
 
     def deflate(self, content: bytes) -> bytes:
-        """Return content compressed, with its mark."""
+        """Return compressed content with its marker."""
         packed = self._stream.compress(content)
         packed += self._stream.flush(zlib.Z_SYNC_FLUSH)
-        return MARK + packed[: -len(_FLUSH_TAIL)]
+        return MARKER + packed[: -len(_FLUSH_TAIL)]
 
 
 class Inflater:
-    """Undoes what one :class:`Deflater` did."""
+    """Decompresses the frames of one :class:`Deflater`."""
 
     def __init__(self) -> None:
         self._stream = zlib.decompressobj(-_WINDOW_BITS)
 
     def inflate(self, marked: bytes) -> bytes:
-        """Return the content that was compressed.
+        """Return decompressed content.
 
-        :raises FrameError: for bytes that no deflater of ours made.
+        :raises FrameError: for bytes that are no compressed content, or too many.
         """
-        packed = marked[len(MARK) :] + _FLUSH_TAIL
+        packed = marked[len(MARKER) :] + _FLUSH_TAIL
         try:
-            # One more than is allowed, so that a peer cannot make a node hold more.
+            # Bounds the memory that a peer can make a node allocate.
             content = self._stream.decompress(packed, MAX_CONTENT + 1)
         except zlib.error as error:
             raise errors.FrameError(
--- a/src/gingerturn/internal/wire/datagrams.py
+++ b/src/gingerturn/internal/wire/datagrams.py
@@ -1,8 +1,7 @@
-"""Membership messages: authentic datagrams.
+"""Codec of membership messages, which are authenticated datagrams.
 
-A datagram is a keyed MAC followed by the message, which names its sender and the
-time of sending. A stranger can forge none; a replayed one is dropped once it is
-older than :data:`MAX_AGE_MS`, or not newer than the sender's last.
+A datagram is a keyed MAC followed by the message, which includes its sender and the
+time of sending. :class:`ReplayGuard` rejects replayed datagrams.
 """
 
 import hmac
@@ -17,12 +16,12 @@
 
 MAC_BYTES = 16
 MAX_AGE_MS = 30_000.0
-"""Clocks of instances may differ by some seconds; replays inside this time are
-caught by the order of each sender's times."""
+"""Limit of a datagram's age, and of the clock difference between instances. Replays
+within this time are detected by the sender's times of sending."""
 
 REORDER_MS = 15_000.0
-"""Datagrams of one sender may overtake one another by this much, and a sender whose
-clock was set back while it restarted is not shut out for as long as that took."""
+"""How far datagrams of one sender may be reordered. Also tolerates a sender whose clock
+was set back at its restart."""
 
 _MAX_AGE = (1 << 32) - 1
 _KINDS = list(messages.GossipKind)
@@ -32,7 +31,7 @@
 
 
 def mac(secret: bytes, content: bytes) -> bytes:
-    """Return the keyed MAC of some bytes."""
+    """Return the truncated HMAC-SHA-256 of content."""
     return hmac.digest(secret, content, "sha256")[:MAC_BYTES]
 
 
@@ -42,23 +41,23 @@
     sent_at: ids.Milliseconds,
     message: messages.Gossip,
 ) -> bytes:
-    """Return a datagram."""
-    part = schema.peer.Gossip.new_message()
-    part.sender = sender
-    part.sentAtMs = sent_at
-    part.kind = _KINDS.index(message.kind)
-    part.sequence = message.sequence
-    part.revision = message.revision
-    part.target = message.target
-    part.cursor = message.cursor
-    part.routeVersion = message.route_version
-    part.provenAgeMs = message.verified_age_ms
-    part.logEpoch = message.log_epoch
-    part.configDigest = message.config_digest
+    """Return the datagram of a message."""
+    root = schema.peer.Gossip.new_message()
+    root.sender = sender
+    root.sentAtMs = sent_at
+    root.kind = _KINDS.index(message.kind)
+    root.sequence = message.sequence
+    root.revision = message.revision
+    root.target = message.target
+    root.cursor = message.cursor
+    root.routeVersion = message.route_version
+    root.provenAgeMs = message.verified_age_ms
+    root.logEpoch = message.log_epoch
+    root.configDigest = message.config_digest
     if message.caps is not None:
-        part.caps = msgspec.msgpack.encode(message.caps)
-    _put_news(part, message.quarantine)
-    members = part.init("members", len(message.members))
+        root.caps = msgspec.msgpack.encode(message.caps)
+    _encode_quarantine(root, message.quarantine)
+    members = root.init("members", len(message.members))
     for slot, member in zip(members, message.members, strict=True):
         slot.node = member.node
         slot.incarnation = member.incarnation
@@ -71,18 +70,18 @@
         slot.service = member.service
         slot.slots = member.slots
         slot.backendStartedMs = member.backend_started_ms
-    content: bytes = part.to_bytes_packed()
+    content: bytes = root.to_bytes_packed()
     return mac(secret, content) + content
 
 
 def decode(
     secrets: list[bytes], datagram: bytes
 ) -> tuple[ids.NodeId, ids.Milliseconds, messages.Gossip]:
-    """Return sender, time of sending and message of an authentic datagram.
+    """Return sender, time of sending and message of a datagram.
 
-    :param secrets: those accepted at present; two during a rotation.
-    :raises AuthenticationError: when no secret fits.
-    :raises FrameError: when the content is no message.
+    :param secrets: the accepted secrets; two during a rotation.
+    :raises AuthenticationError: when the MAC matches no secret.
+    :raises FrameError: when the content is not a valid message.
     """
     proof, content = datagram[:MAC_BYTES], datagram[MAC_BYTES:]
     if not any(hmac.compare_digest(mac(s, content), proof) for s in secrets):
@@ -90,22 +89,22 @@
             "a datagram is not authentic", step="check a datagram"
         )
     try:
-        part = schema.peer.Gossip.from_bytes_packed(content)
+        root = schema.peer.Gossip.from_bytes_packed(content)
         message = messages.Gossip(
-            kind=_KINDS[part.kind],
-            sequence=part.sequence,
-            revision=ids.Revision(part.revision),
-            members=tuple(_member(slot) for slot in part.members),
-            target=part.target,
-            cursor=part.cursor,
-            route_version=part.routeVersion,
-            quarantine=_news(part),
-            verified_age_ms=part.provenAgeMs,
-            caps=_CAPS_DECODER.decode(part.caps) if part.caps else None,
-            log_epoch=ids.LogEpoch(part.logEpoch),
-            config_digest=part.configDigest,
+            kind=_KINDS[root.kind],
+            sequence=root.sequence,
+            revision=ids.Revision(root.revision),
+            members=tuple(_member(slot) for slot in root.members),
+            target=root.target,
+            cursor=root.cursor,
+            route_version=root.routeVersion,
+            quarantine=_decode_quarantine(root),
+            verified_age_ms=root.provenAgeMs,
+            caps=_CAPS_DECODER.decode(root.caps) if root.caps else None,
+            log_epoch=ids.LogEpoch(root.logEpoch),
+            config_digest=root.configDigest,
         )
-        return ids.NodeId(part.sender), part.sentAtMs, message
+        return ids.NodeId(root.sender), root.sentAtMs, message
     except (schema.CapnpError, IndexError, ValueError, UnicodeDecodeError) as error:
         reason = str(error).split("\n", 1)[0]
         raise errors.FrameError(
@@ -129,42 +128,42 @@
     )
 
 
-def _put_news(part: typing.Any, news: messages.QuarantineGossip) -> None:
-    """Write what rides along on requests that end backend servers."""
-    if news is messages.NO_QUARANTINE_GOSSIP:
+def _encode_quarantine(root: typing.Any, gossip: messages.QuarantineGossip) -> None:
+    """Write the quarantine part of a message."""
+    if gossip is messages.NO_QUARANTINE_GOSSIP:
         return
-    part.quarantineDigest = news.digest
-    ends = part.init("ends", len(news.crashes))
-    for slot, end in zip(ends, news.crashes, strict=True):
-        slot.node = end.node
-        slot.incarnation = end.incarnation
-        slot.number = end.number
-        slot.part = end.part
-        slot.ageMs = _age(end.age_ms)
+    root.quarantineDigest = gossip.digest
+    crashes = root.init("ends", len(gossip.crashes))
+    for slot, crash in zip(crashes, gossip.crashes, strict=True):
+        slot.node = crash.node
+        slot.incarnation = crash.incarnation
+        slot.number = crash.number
+        slot.part = crash.part
+        slot.ageMs = _clamped_age(crash.age_ms)
         slot.requests = b"".join(
-            request.to_bytes(ids.FINGERPRINT_BYTES) for request in end.requests
+            request.to_bytes(ids.FINGERPRINT_BYTES) for request in crash.requests
         )
-    words = part.init("words", len(news.updates))
-    for slot, word in zip(words, news.updates, strict=True):
-        slot.request = word.request
-        slot.ends = min(word.crash_count, messages.MAX_ENDS)
-        slot.ageMs = _age(word.age_ms)
+    updates = root.init("words", len(gossip.updates))
+    for slot, update in zip(updates, gossip.updates, strict=True):
+        slot.request = update.request
+        slot.ends = min(update.crash_count, messages.MAX_ENDS)
+        slot.ageMs = _clamped_age(update.age_ms)
 
 
-def _news(part: typing.Any) -> messages.QuarantineGossip:
-    if not (part.quarantineDigest or len(part.ends) or len(part.words)):
+def _decode_quarantine(root: typing.Any) -> messages.QuarantineGossip:
+    if not (root.quarantineDigest or len(root.ends) or len(root.words)):
         return messages.NO_QUARANTINE_GOSSIP
     return messages.QuarantineGossip(
-        crashes=tuple(_end(slot) for slot in part.ends),
+        crashes=tuple(_crash(slot) for slot in root.ends),
         updates=tuple(
             messages.QuarantineUpdate(slot.request, slot.ends, float(slot.ageMs))
-            for slot in part.words
+            for slot in root.words
         ),
-        digest=part.quarantineDigest,
+        digest=root.quarantineDigest,
     )
 
 
-def _end(slot: typing.Any) -> messages.BackendCrash:
+def _crash(slot: typing.Any) -> messages.BackendCrash:
     content = slot.requests
     requests = tuple(
         int.from_bytes(content[first : first + ids.FINGERPRINT_BYTES])
@@ -180,12 +179,12 @@
     )
 
 
-def _age(age_ms: ids.Milliseconds) -> int:
+def _clamped_age(age_ms: ids.Milliseconds) -> int:
     return max(0, min(int(age_ms), _MAX_AGE))
 
 
 class ReplayGuard:
-    """Remembers the latest time of sending of each sender."""
+    """Detects replayed datagrams by the times of sending of each sender."""
 
     def __init__(self) -> None:
         self._latest: dict[str, ids.Milliseconds] = {}
@@ -194,7 +193,7 @@
     def accepts(
         self, sender: ids.NodeId, sent_at: ids.Milliseconds, now: ids.Milliseconds
     ) -> bool:
-        """Tell whether a datagram is new, and remember it."""
+        """Whether a datagram is new; if so, record it."""
         if abs(now - sent_at) > MAX_AGE_MS:
             return False
         latest = self._latest.get(sender, 0.0)
@@ -202,10 +201,10 @@
             return False
         self._latest[sender] = max(latest, sent_at)
         self._recent[(sender, sent_at)] = None
-        if len(self._recent) > _RECENT:
+        if len(self._recent) > _MAX_RECENT:
             del self._recent[next(iter(self._recent))]
         return True
 
 
-_RECENT = 4_096
-"""Datagrams remembered one by one: more than arrive within the reorder time."""
+_MAX_RECENT = 4_096
+"""Limit of datagrams recorded individually: more than arrive in the reorder time."""
--- a/src/gingerturn/internal/wire/frames.py
+++ b/src/gingerturn/internal/wire/frames.py
@@ -1,9 +1,8 @@
-"""Frames of the connections between nodes: a length, then MessagePack.
+"""Codec of the frames between nodes: a length prefix, then MessagePack.
 
-Every frame carries the id of its call. MessagePack rather than the schema of
-:mod:`.schema`: encoding and decoding the four frames of a call took 90 us of the
-430 us that a call may cost with it, and takes 8 us so (docs/design/codecs.md).
-Membership messages, which are not on a call's way, keep the schema.
+Every frame has the id of its call. MessagePack is used rather than the Cap'n Proto
+schema of membership messages, since it is faster to encode and decode
+(docs/design/codecs.md).
 """
 
 import struct
@@ -15,8 +14,7 @@
 from gingerturn.internal.wire import compression
 
 MAX_FRAME = 1 << 20
-"""A peer that announces a longer frame is not one of ours: 1 MiB is twice the
-largest body that a node sends in one frame."""
+"""Limit of a frame's length in bytes, twice the largest body sent in one frame."""
 
 _LENGTH = struct.Struct(">I")
 LENGTH_BYTES = _LENGTH.size
@@ -25,8 +23,8 @@
 class Open(msgspec.Struct, frozen=True, array_like=True, tag=1, gc=False):
     """A call to the home node.
 
-    :param head: request line and headers as they go to the backend server.
-    :param whole: the body is complete; otherwise chunks follow.
+    :param head: request line and headers as sent to the backend server.
+    :param whole: whether the body is complete; otherwise chunks follow.
     """
 
     call: int
@@ -39,8 +37,8 @@
 class Answer(msgspec.Struct, frozen=True, array_like=True, tag=2, gc=False):
     """The backend server's answer, or its head when the body follows.
 
-    :param length: announced length of a body that follows; -1 if not known.
-    :param child_failed: a call that the backend server made for it failed.
+    :param length: content length of a body that follows; -1 if unknown.
+    :param child_failed: whether a call that the backend server made for it failed.
     """
 
     call: int
@@ -65,7 +63,7 @@
 
 
 class Chunk(msgspec.Struct, frozen=True, array_like=True, tag=4, gc=False):
-    """A piece of a long body."""
+    """Part of a body sent in several frames."""
 
     call: int
     body: bytes
@@ -73,29 +71,29 @@
 
 
 class Cancel(msgspec.Struct, frozen=True, array_like=True, tag=5, gc=False):
-    """The answer is not wanted any more."""
+    """Cancels a call."""
 
     call: int
 
 
 class Broken(msgspec.Struct, frozen=True, array_like=True, tag=6, gc=False):
-    """The body being sent cannot be completed."""
+    """Ends a body that the sender cannot complete."""
 
     call: int
 
 
 class Credit(msgspec.Struct, frozen=True, array_like=True, tag=7, gc=False):
-    """The receiver has room for this many more bytes of the body."""
+    """Flow control: allows the sender this many more bytes of the body."""
 
     call: int
     count: int
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag=8, gc=False):
-    """Opens a connection; each side proves that it knows the secret.
+    """Handshake of a connection, which authenticates each side by the shared secret.
 
-    :param zone: where the sender runs. Frames to another zone may be compressed; an
-        empty one, of a node of an earlier version, means that they may not.
+    :param zone: availability zone of the sender. Frames to another zone may be
+        compressed, unless it is empty, as from nodes of an earlier version.
     """
 
     call: int
@@ -106,9 +104,9 @@
     zone: str = ""
 
 
-class Ask(msgspec.Struct, frozen=True, array_like=True, tag=9, gc=False):
-    """A question about what a node holds: a decision, the route table, or what
-    changed in the configuration since a revision."""
+class Query(msgspec.Struct, frozen=True, array_like=True, tag=9, gc=False):
+    """Queries a node for a decision, the route table, or the configuration changes
+    since a revision."""
 
     call: int
     decision: str = ""
@@ -116,22 +114,22 @@
     routes: bool = False
 
 
-class Reply(msgspec.Struct, frozen=True, array_like=True, tag=10, gc=False):
-    """The answer to a question, as JSON."""
+class QueryReply(msgspec.Struct, frozen=True, array_like=True, tag=10, gc=False):
+    """The result of a :class:`Query`, as JSON."""
 
     call: int
     content: bytes
 
 
-class AskLevel(msgspec.Struct, frozen=True, array_like=True, tag=11, gc=False):
-    """Asks what the receiver sheds at present, for calls of a kind."""
+class LevelRequest(msgspec.Struct, frozen=True, array_like=True, tag=11, gc=False):
+    """Requests the current level of the receiver for calls of a kind."""
 
     call: int
     kind: str
 
 
-class TellLevel(msgspec.Struct, frozen=True, array_like=True, tag=12, gc=False):
-    """The answer to that question."""
+class LevelReport(msgspec.Struct, frozen=True, array_like=True, tag=12, gc=False):
+    """The reply to a :class:`LevelRequest`."""
 
     call: int
     report: messages.LoadReport
@@ -146,10 +144,10 @@
     | Broken
     | Credit
     | Hello
-    | Ask
-    | Reply
-    | AskLevel
-    | TellLevel
+    | Query
+    | QueryReply
+    | LevelRequest
+    | LevelReport
 )
 
 _ENCODER = msgspec.msgpack.Encoder()
@@ -157,9 +155,9 @@
 
 
 def encode(frame: Frame, deflater: compression.Deflater | None = None) -> bytes:
-    """Return a frame with its length in front.
+    """Return an encoded frame with its length prefix.
 
-    :param deflater: compresses it, if it is short enough.
+    :param deflater: compresses content of up to :data:`compression.MAX_CONTENT`.
     """
     content = _ENCODER.encode(frame)
     if deflater is not None and len(content) <= compression.MAX_CONTENT:
@@ -168,13 +166,12 @@
 
 
 def decode(content: bytes, inflater: compression.Inflater | None = None) -> Frame:
-    """Return the frame in ``content``, without its length.
+    """Return the frame encoded in content without its length prefix.
 
-    :param inflater: undoes the compression of this connection; without one compressed
-        content is not taken.
-    :raises FrameError: for bytes that are no frame.
+    :param inflater: decompresses content; without one compressed content is rejected.
+    :raises FrameError: for bytes that are not a valid frame.
     """
-    if inflater is not None and content.startswith(compression.MARK):
+    if inflater is not None and content.startswith(compression.MARKER):
         content = inflater.inflate(content)
     try:
         return _DECODER.decode(content)
@@ -185,7 +182,7 @@
 
 
 def split(buffer: bytearray) -> list[bytes]:
-    """Take the complete frames off the front of a buffer.
+    """Remove the complete frames from the front of a buffer and return them.
 
     :raises FrameError: when a length exceeds :data:`MAX_FRAME`.
     """
--- a/src/gingerturn/internal/wire/peer.capnp
+++ b/src/gingerturn/internal/wire/peer.capnp
@@ -1,5 +1,5 @@
 @0xd1f3a6b07c2e4985;
-# Membership messages between nodes: one in each UDP datagram, packed, behind a
+# Membership messages between nodes. Each is sent packed in one UDP datagram, after a
 # keyed MAC of 16 bytes.
 
 struct Member {
--- a/src/gingerturn/internal/wire/schema.py
+++ b/src/gingerturn/internal/wire/schema.py
@@ -1,8 +1,4 @@
-"""Loads the schema of the protocol between nodes.
-
-The schema is read at the start by the library itself, so that no generated code
-and no generator are needed.
-"""
+"""The Cap'n Proto schema of membership messages, loaded without generated code."""
 
 import pathlib
 import typing
--- a/tests/cover/test_frames.py
+++ b/tests/cover/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames and datagrams: there and back, and arbitrary bytes."""
+"""Frames and datagrams: round trips, invalid bytes, compression."""
 
 import contextlib
 
@@ -52,16 +52,18 @@
         nonce=st.binary(),
         proof=st.binary(),
     ),
-    st.builds(frames.Ask, call=CALL, decision=st.text(), since=st.integers(0, 1 << 40)),
-    st.builds(frames.Reply, call=CALL, content=st.binary()),
-    st.builds(frames.AskLevel, call=CALL, kind=st.text()),
-    st.builds(frames.TellLevel, call=CALL, report=events_of.REPORTS),
+    st.builds(
+        frames.Query, call=CALL, decision=st.text(), since=st.integers(0, 1 << 40)
+    ),
+    st.builds(frames.QueryReply, call=CALL, content=st.binary()),
+    st.builds(frames.LevelRequest, call=CALL, kind=st.text()),
+    st.builds(frames.LevelReport, call=CALL, report=events_of.REPORTS),
 )
 SECRET = b"a secret of the tests"
 
 
 @hypothesis.given(st.lists(FRAMES, max_size=5), st.integers(1, 40))
-def test_frames_survive_any_cut_into_packets(sent: list, size: int) -> None:
+def test_frames_survive_any_split_into_packets(sent: list, size: int) -> None:
     stream = b"".join(frames.encode(frame) for frame in sent)
     buffer = bytearray()
     found = []
@@ -89,13 +91,15 @@
         frames.decode(content[:cut])
 
 
-def test_a_frame_that_announces_too_much_is_refused() -> None:
+def test_a_length_above_the_limit_is_refused() -> None:
     with pytest.raises(errors.FrameError, match="allowed are"):
         frames.split(bytearray(b"\x7f\xff\xff\xff"))
 
 
 @hypothesis.given(events_of.GOSSIP)
-def test_a_datagram_tells_its_sender_and_message(message: messages.Gossip) -> None:
+def test_a_datagram_round_trips_sender_time_and_message(
+    message: messages.Gossip,
+) -> None:
     datagram = datagrams.encode(SECRET, "n1", 5.0, message)
     assert datagrams.decode([b"another secret", SECRET], datagram) == (
         "n1",
@@ -115,7 +119,7 @@
 
 
 @hypothesis.given(st.binary(max_size=200))
-def test_authentic_garbage_is_a_clear_error(content: bytes) -> None:
+def test_authenticated_arbitrary_bytes_are_a_clear_error(content: bytes) -> None:
     datagram = datagrams.mac(SECRET, content) + content
     try:
         datagrams.decode([SECRET], datagram)
@@ -149,7 +153,7 @@
     assert sum(sizes[1:]) < sum(plain[1:]) / 3
 
 
-def test_a_long_frame_stays_plain_and_leaves_the_stream_as_it_was() -> None:
+def test_a_long_frame_stays_uncompressed_and_keeps_the_stream_intact() -> None:
     deflater, inflater = compression.Deflater(), compression.Inflater()
     long = frames.Chunk(call=1, body=b"x" * compression.MAX_CONTENT, last=False)
     short = frames.Cancel(call=2)
@@ -161,13 +165,13 @@
     assert [frames.decode(c, inflater) for c in contents] == [short, long, short]
 
 
-def test_compressed_content_is_not_taken_without_an_inflater() -> None:
+def test_compressed_content_is_refused_without_an_inflater() -> None:
     packed = frames.encode(frames.Cancel(call=1), compression.Deflater())
     with pytest.raises(errors.FrameError):
         frames.decode(packed[frames.LENGTH_BYTES :])
 
 
-def test_compressed_content_that_grows_beyond_its_bound_is_refused() -> None:
+def test_content_that_inflates_beyond_its_limit_is_refused() -> None:
     packed = compression.Deflater().deflate(b"\0" * (compression.MAX_CONTENT + 1))
     with pytest.raises(errors.FrameError, match=str(compression.MAX_CONTENT)):
         compression.Inflater().inflate(packed)
@@ -176,4 +180,4 @@
 @hypothesis.given(st.binary(max_size=300))
 def test_arbitrary_marked_bytes_are_a_frame_or_a_clear_error(content: bytes) -> None:
     with contextlib.suppress(errors.FrameError):
-        frames.decode(compression.MARK + content, compression.Inflater())
+        frames.decode(compression.MARKER + content, compression.Inflater())
