--- a/src/gingerturn/internal/shell/admin.py
+++ b/src/gingerturn/internal/shell/admin.py
@@ -1,7 +1,6 @@
-"""The administration API: litestar on uvicorn, on an address of its own.
+"""The administration API: litestar on uvicorn, on a separate address.
 
-Calls never pass through it: each of these layers costs more than the whole bound
-on the time added to a call.
+Calls are served by :mod:`.ingress`, without the overhead of these libraries.
 """
 
 import collections.abc
@@ -28,14 +27,14 @@
 )
 from gingerturn.internal.shell import clock, node as nodes
 
-PAGE = 100
-MAX_PAGE = 1_000
+DEFAULT_PAGE_SIZE = 100
+MAX_PAGE_SIZE = 1_000
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 _PART = "admin"
 
 
 class MemberRow(msgspec.Struct):
-    """A member as this node knows it."""
+    """A member as seen by this node."""
 
     node: str
     state: str
@@ -50,7 +49,7 @@
 
 
 class BackendRow(msgspec.Struct):
-    """The backend server beside this node."""
+    """The backend server of this node's instance."""
 
     service: str
     present: bool
@@ -64,7 +63,7 @@
 
 
 class Status(msgspec.Struct):
-    """What ``gingerturn status`` prints."""
+    """State of a node, as ``gingerturn status`` prints it."""
 
     node: str
     incarnation: int
@@ -90,7 +89,7 @@
 
 
 class PublicationResult(msgspec.Struct):
-    """How a publication ended; ``accepted`` is null when that is not known."""
+    """Outcome of a publication; ``accepted`` is null if unknown."""
 
     accepted: bool | None
     revision: int
@@ -98,7 +97,7 @@
 
 
 class ConfigurationView(msgspec.Struct):
-    """The configuration in force."""
+    """The current configuration."""
 
     revision: int
     digest: str
@@ -107,10 +106,11 @@
 
 
 class KeptOutRow(msgspec.Struct):
-    """A request that is kept out since backend servers ended under it.
+    """A request in quarantine.
 
     :param request: its fingerprint, 12 hexadecimal digits.
-    :param trial_in_s: until it is tried again, at one backend server.
+    :param ends: crashes of backend servers while they ran it.
+    :param trial_in_s: seconds until it is tried again, on one backend server.
     """
 
     request: str
@@ -120,7 +120,7 @@
 
 
 class Administration:
-    """The handlers of one node's API.
+    """Handlers of a node's administration API.
 
     :param node: the node.
     """
@@ -129,7 +129,7 @@
         self._node = node
 
     def application(self) -> litestar.Litestar:
-        """Return the application."""
+        """Return the ASGI application."""
         handlers = [
             litestar.get("/status", sync_to_thread=False)(self.status),
             litestar.get("/why/{decision_id:str}")(self.why),
@@ -149,7 +149,7 @@
         ]
         return litestar.Litestar(
             route_handlers=handlers,
-            exception_handlers={Exception: _problem},
+            exception_handlers={Exception: _problem_response},
             openapi_config=openapi.OpenAPIConfig(
                 title="gingerturn administration", version="1"
             ),
@@ -157,7 +157,7 @@
         )
 
     def status(self) -> Status:
-        """Return the state of the node and of the members it knows."""
+        """Return the state of the node and of its members."""
         state = self._node.state
         backend = state.backend
         counters = self._node.counters
@@ -179,7 +179,7 @@
                 running=backend.running,
                 queued=len(backend.queue),
                 level=backend.level,
-                level_words=_level_words(backend.level),
+                level_words=_level_text(backend.level),
             ),
             members=[self._member(m) for m in state.membership.members.values()],
             answered=counters.answered,
@@ -191,11 +191,11 @@
         )
 
     async def why(self, decision_id: str) -> decisions.Decision:
-        """Return a decision, from whichever node holds it."""
+        """Return a decision, queried from the node that made it."""
         found = await self._node.links.why(decision_id)
         if found is None:
             raise exceptions.NotFoundException(
-                f"decision {decision_id!r} is not held (any more)"
+                f"decision {decision_id!r} is not stored (any more)"
             )
         return found
 
@@ -203,10 +203,12 @@
         self,
         team: str = "",
         since_ms: float = 0.0,
-        limit: typing.Annotated[int, params.Parameter(ge=1, le=MAX_PAGE)] = PAGE,
+        limit: typing.Annotated[
+            int, params.Parameter(ge=1, le=MAX_PAGE_SIZE)
+        ] = DEFAULT_PAGE_SIZE,
         page: typing.Annotated[int, params.Parameter(ge=1)] = 1,
     ) -> list[messages.AuditRecord]:
-        """Return the trail of changes, newest last."""
+        """Return a page of audit records, newest last."""
         records = [
             record
             for record in await self._node.log.audit()
@@ -215,7 +217,7 @@
         return records[(page - 1) * limit : page * limit]
 
     def config(self) -> ConfigurationView:
-        """Return the configuration in force."""
+        """Return the current configuration."""
         held = self._node.state.revisions
         return ConfigurationView(
             revision=held.revision,
@@ -225,7 +227,7 @@
         )
 
     def history(self) -> list[messages.AuditRecord]:
-        """Return the publications that this node saw decided."""
+        """Return the outcomes of publications that this node has read."""
         return self._node.state.revisions.history
 
     async def publish(
@@ -238,18 +240,20 @@
         checks.check_name("team", team)
         self._check_token(team, request.headers.get("authorization", ""))
         configuration.parse(data.text, f"{team}.toml")
-        ended = await self._node.publish(
+        outcome = await self._node.publish(
             team=ids.TeamName(team),
             author=data.author,
             base=ids.Revision(data.base),
             text=data.text,
         )
         return PublicationResult(
-            accepted=ended.accepted, revision=ended.revision, problem=ended.problem
+            accepted=outcome.accepted,
+            revision=outcome.revision,
+            problem=outcome.problem,
         )
 
     def kept_out(self) -> list[KeptOutRow]:
-        """Return the requests that this node keeps out."""
+        """Return the requests in quarantine on this node."""
         state = self._node.state
         rows = []
         for request in state.quarantine.quarantined:
@@ -264,13 +268,13 @@
         request: litestar.Request[typing.Any, typing.Any, typing.Any],
         author: str = "",
     ) -> None:
-        """Let a request that is kept out run again, everywhere."""
-        self._check_beside(request)
+        """Release a request from quarantine on all nodes."""
+        self._check_same_instance(request)
         known = self._node.state.quarantine.quarantined
         found = [r for r in known if ids.fingerprint_text(r) == request_id]
         if not found:
             raise exceptions.NotFoundException(
-                f"request {request_id!r} is not kept out here"
+                f"request {request_id!r} is not in quarantine on this node"
             )
         cleared = events.RequestCleared(
             now=clock.now(), request=ids.Fingerprint(found[0]), author=author
@@ -282,22 +286,22 @@
         data: announcements.Announcement,
         request: litestar.Request[typing.Any, typing.Any, typing.Any],
     ) -> None:
-        """Announce or renew the backend server beside this node."""
-        self._check_beside(request)
+        """Announce the backend server of this instance, or renew its announcement."""
+        self._check_same_instance(request)
         self._node.announce(data)
 
     def withdraw(
         self, request: litestar.Request[typing.Any, typing.Any, typing.Any]
     ) -> None:
-        """Withdraw the backend server: it takes no new work from here on."""
-        self._check_beside(request)
+        """Withdraw the backend server, which gets no further calls."""
+        self._check_same_instance(request)
         self._node.withdraw()
 
     def drain(
         self, request: litestar.Request[typing.Any, typing.Any, typing.Any]
     ) -> None:
         """Begin a planned stop of this node."""
-        self._check_beside(request)
+        self._check_same_instance(request)
         self._node.apply(events.StopRequested(now=clock.now()))
 
     def _member(self, member: messages.Member) -> MemberRow:
@@ -313,20 +317,24 @@
             service=member.service,
             slots=member.slots,
             incarnation=member.incarnation,
-            level=_level_words(level),
+            level=_level_text(level),
             load=upstream.load if upstream else 0,
             limit=upstream.limit if upstream else 0,
         )
 
-    def _check_beside(
+    def _check_same_instance(
         self, request: litestar.Request[typing.Any, typing.Any, typing.Any]
     ) -> None:
-        """Only processes of the same instance speak for its backend server."""
+        """Reject clients other than processes of the same instance."""
         client = request.client.host if request.client else ""
         own = self._node.settings.node.host
         if client == own or ipaddress.ip_address(client or "0.0.0.0").is_loopback:
             return
-        logs.write("WARNING", _PART, f"Refused an act of {client}.")
+        logs.write(
+            "WARNING",
+            _PART,
+            f"Refused a request of {client}, which is not on this instance.",
+        )
         raise exceptions.PermissionDeniedException(
             "only a process of the same instance may do this"
         )
@@ -334,7 +342,7 @@
     def _check_token(self, team: str, authorization: str) -> None:
         teams = {known.name: known for known in self._node.settings.team}
         if not teams:
-            # A network of one team needs no tokens; then the address is the guard.
+            # No teams are configured: access is limited by the address only.
             return
         digest = hashlib.sha256(authorization.removeprefix("Bearer ").encode())
         expected = teams[team].token_sha256 if team in teams else ""
@@ -342,17 +350,17 @@
             return
         logs.write("WARNING", _PART, f"Refused a publication for team {team}.")
         raise exceptions.PermissionDeniedException(
-            f"the token is not one of team {team!r}"
+            f"the token is not that of team {team!r}"
         )
 
 
-def _level_words(level: int) -> str:
+def _level_text(level: int) -> str:
     if level == ranks.LOWEST:
         return "nothing is shed"
     return f"shed below {ranks.describe(level)}"
 
 
-def _problem(
+def _problem_response(
     request: litestar.Request[typing.Any, typing.Any, typing.Any], error: Exception
 ) -> responses.Response[dict[str, typing.Any]]:
     """Return any error as an RFC 9457 problem."""
@@ -378,26 +386,26 @@
 
 
 class _Server(uvicorn.Server):
-    """A server that leaves signals to the node."""
+    """A server that installs no signal handlers; the daemon has its own."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> collections.abc.Generator[None, None, None]:
-        """Capture none."""
+        """Capture no signals."""
         yield
 
 
 def server(node: "nodes.Node") -> uvicorn.Server:
     """Return the server of a node's administration API."""
-    place = node.settings.node
+    node_settings = node.settings.node
     return _Server(
         uvicorn.Config(
             Administration(node).application(),
-            host=place.host,
-            port=place.admin_port,
+            host=node_settings.host,
+            port=node_settings.admin_port,
             log_level="warning",
             access_log=False,
             lifespan="off",
-            # Named, so that the server does not load every protocol it knows.
+            # Set explicitly, so that uvicorn imports no other implementations.
             http="httptools",
             ws="none",
             loop="none",
--- a/src/gingerturn/internal/shell/backend_http.py
+++ b/src/gingerturn/internal/shell/backend_http.py
@@ -75,7 +75,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take the new connection."""
         self._transport = typing.cast(asyncio.Transport, transport)
-        sockets.bound_silence(transport)
+        sockets.set_dead_peer_timeouts(transport)
 
     def eof_received(self) -> None:
         """End an answer without a length: its end is that of the connection.
--- a/src/gingerturn/internal/shell/daemon.py
+++ b/src/gingerturn/internal/shell/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: one node and its administration API, until a signal ends it."""
+"""The daemon, which runs a node and its administration API until a signal."""
 
 import asyncio
 import collections.abc
@@ -14,26 +14,25 @@
 from gingerturn.internal.shell import clock, node as nodes
 
 ADMIN_STOP_S = 2.0
-"""Time for the administration API to end after the node has closed."""
+"""Timeout of the administration API's shutdown, after the node has closed."""
 
 EXIT_CLEAN = 0
 EXIT_NOT_STARTED = 7
-"""An address that the settings name is taken, or not one of this machine."""
+"""An address in the settings cannot be bound."""
 
 EXIT_DRAIN_CUT = 3
-"""The drain took longer than allowed, or an interrupt ended it."""
+"""The drain timed out or was interrupted."""
 
 
-WATCH_S = 1.0
-"""How often the settings are looked at. They may change without a signal, and what may
-change while a node runs is no matter of milliseconds."""
+SETTINGS_POLL_S = 1.0
+"""Interval between checks of the settings file for changes."""
 
 
 class Source:
-    """Where settings come from, and what of it was taken last.
+    """The settings file, with its content as last loaded.
 
     :param path: the file.
-    :param load: reads it.
+    :param load: parses it.
     """
 
     def __init__(
@@ -43,20 +42,20 @@
     ) -> None:
         self._path = path
         self._load = load
-        self._taken = self._content()
+        self._last_content = self._content()
 
     def changed(self) -> bool:
-        """Tell whether the file holds something else than when it was last read; one
-        that cannot be read has not changed."""
+        """Whether the file's content differs from that last loaded; an unreadable file
+        counts as unchanged."""
         content = self._content()
-        return content is not None and content != self._taken
+        return content is not None and content != self._last_content
 
     def load(self) -> settings.Settings:
-        """Read the settings again.
+        """Load the settings.
 
-        :raises GingerturnError: when they are not allowed.
+        :raises GingerturnError: when they are invalid.
         """
-        self._taken = self._content()
+        self._last_content = self._content()
         return self._load(self._path)
 
     def _content(self) -> bytes | None:
@@ -67,26 +66,26 @@
 
 
 async def run(node: nodes.Node, source: Source) -> int:
-    """Run a node until a planned stop has ended.
+    """Run a node until its planned stop has completed.
 
-    SIGHUP, or a change of the file, reads the settings again; bad ones change nothing.
+    SIGHUP, or a change of the file, reloads the settings; invalid ones are ignored.
 
     SIGTERM or SIGINT begins the planned stop. SIGINT during a stop, or the drain's
-    time limit, ends the process at once; SIGTERM during a stop changes nothing.
+    timeout, ends the process at once; SIGTERM during a stop has no effect.
 
     :return: the exit status.
     """
     stopping = asyncio.Event()
-    cut = asyncio.Event()
+    interrupted = asyncio.Event()
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, _begin_stop, node, stopping)
-    loop.add_signal_handler(signal.SIGINT, _on_interrupt, node, stopping, cut)
+    loop.add_signal_handler(signal.SIGINT, _on_interrupt, node, stopping, interrupted)
     loop.add_signal_handler(signal.SIGHUP, _reload, node, source)
-    loop.set_exception_handler(_on_fault)
-    place = node.settings.node
+    loop.set_exception_handler(_on_unhandled_error)
+    node_settings = node.settings.node
     try:
         await node.start()
-        administration = _Administration(node) if place.admin_port else None
+        administration = _Administration(node) if node_settings.admin_port else None
     except errors.GingerturnError as error:
         logs.write("ERROR", "node", f"Not started: {error}.")
         await node.close()
@@ -96,23 +95,25 @@
         "node",
         f"Node {node.name} is up.",
         incarnation=node.incarnation,
-        zone=place.zone,
+        zone=node_settings.zone,
         service=node.settings.backend.service,
         log=node.settings.log.url,
     )
     node.spawn(_watch(node, source))
     await stopping.wait()
-    drained = await _wait_stopped(node, cut, place.drain_timeout_ms / 1000.0)
-    left = len(node.state.calls) + len(node.state.hosted)
+    drained = await _wait_stopped(
+        node, interrupted, node_settings.drain_timeout_ms / 1000.0
+    )
+    unfinished = len(node.state.calls) + len(node.state.hosted)
     if administration is not None:
         administration.stop()
     await node.close()
     if administration is not None:
         await administration.ended()
     if drained:
-        logs.write("INFO", "node", "Stopped; no call was cut.")
+        logs.write("INFO", "node", "Stopped; no call was aborted.")
         return EXIT_CLEAN
-    logs.write("WARNING", "node", f"Stopped early; {left} calls were cut.")
+    logs.write("WARNING", "node", f"Stopped early; {unfinished} calls were aborted.")
     return EXIT_DRAIN_CUT
 
 
@@ -120,53 +121,54 @@
     """The administration API while the daemon runs."""
 
     def __init__(self, node: nodes.Node) -> None:
-        # Imported here: its libraries take a third of a node's time to start, which
-        # one that serves no administration API need not spend.
+        # Imported lazily: its libraries are slow to import, and a node without an
+        # administration API does not need them.
         from gingerturn.internal.shell import admin
 
-        place = node.settings.node
-        # Bound here: the server's own failure to bind would end the process in the
-        # middle of a task, with a traceback and no word on what was taken.
+        node_settings = node.settings.node
+        # Bound here, since uvicorn exits the process from within a task when it cannot
+        # bind, without naming the address.
         bound = socket.socket()
         bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        with nodes.listening(place.host, place.admin_port):
-            bound.bind((place.host, place.admin_port))
+        with nodes.listening(node_settings.host, node_settings.admin_port):
+            bound.bind((node_settings.host, node_settings.admin_port))
         self._server = admin.server(node)
         serving = self._server.serve(sockets=[bound])
         self._task = asyncio.get_running_loop().create_task(serving)
 
     def stop(self) -> None:
-        """Begin to stop."""
+        """Begin the shutdown."""
         self._server.should_exit = True
 
     async def ended(self) -> None:
-        """Wait a while for the end."""
+        """Wait for the shutdown, up to :data:`ADMIN_STOP_S`."""
         await asyncio.wait([self._task], timeout=ADMIN_STOP_S)
 
 
-def _on_fault(loop: asyncio.AbstractEventLoop, context: dict[str, typing.Any]) -> None:
-    """Write a fault that nothing caught: one bad event must not end the process, nor
-    pass without a word."""
+def _on_unhandled_error(
+    loop: asyncio.AbstractEventLoop, context: dict[str, typing.Any]
+) -> None:
+    """Log an exception that nothing caught; it does not end the process."""
     error = context.get("exception")
     trace = "".join(traceback.format_exception(error)[-3:]) if error else ""
-    logs.write("ERROR", "node", f"Fault: {context['message']}.", trace=trace)
+    logs.write("ERROR", "node", f"Unhandled error: {context['message']}.", trace=trace)
 
 
 def _on_interrupt(
-    node: nodes.Node, stopping: asyncio.Event, cut: asyncio.Event
+    node: nodes.Node, stopping: asyncio.Event, interrupted: asyncio.Event
 ) -> None:
-    """Begin a planned stop, or end the one that is under way."""
+    """Begin a planned stop, or abort the one in progress."""
     if node.stopping:
-        cut.set()
+        interrupted.set()
     else:
         _begin_stop(node, stopping)
 
 
 def _begin_stop(node: nodes.Node, stopping: asyncio.Event) -> None:
-    """Begin a planned stop. Whatever plans stops may plan two that overlap: a second
-    one must not cut what the first one lets finish."""
+    """Begin a planned stop. A repeated request must not abort calls that the stop in
+    progress lets finish."""
     if node.stopping:
-        logs.write("INFO", "node", "A planned stop is under way already.")
+        logs.write("INFO", "node", "A planned stop is already in progress.")
         return
     grace_ms = float(node.settings.node.drain_timeout_ms)
     node.apply(events.StopRequested(now=clock.now(), grace_ms=grace_ms))
@@ -175,26 +177,32 @@
 
 async def _watch(node: nodes.Node, source: Source) -> None:
     while True:
-        await asyncio.sleep(WATCH_S)
+        await asyncio.sleep(SETTINGS_POLL_S)
         if source.changed():
             _reload(node, source)
 
 
 def _reload(node: nodes.Node, source: Source) -> None:
-    """Read the settings again. Without a handler SIGHUP would end the process and cut
-    every call in flight."""
+    """Reload the settings. Also the handler of SIGHUP, whose default action would end
+    the process."""
     try:
         node.reload(source.load())
     except errors.GingerturnError as error:
-        logs.write("ERROR", "node", f"Settings refused, the last stay: {error}.")
+        logs.write(
+            "ERROR",
+            "node",
+            f"Settings refused, the previous ones stay in effect: {error}.",
+        )
 
 
-async def _wait_stopped(node: nodes.Node, cut: asyncio.Event, limit: float) -> bool:
-    """Wait for the end of a planned stop; tell whether nothing was cut."""
+async def _wait_stopped(
+    node: nodes.Node, interrupted: asyncio.Event, limit: float
+) -> bool:
+    """Wait for the end of a planned stop; return whether it completed."""
     ended = asyncio.create_task(nodes.run(node))
-    cutting = asyncio.create_task(cut.wait())
+    interruption = asyncio.create_task(interrupted.wait())
     done, waiting = await asyncio.wait(
-        {ended, cutting}, timeout=limit, return_when=asyncio.FIRST_COMPLETED
+        {ended, interruption}, timeout=limit, return_when=asyncio.FIRST_COMPLETED
     )
     for task in waiting:
         task.cancel()
--- a/src/gingerturn/internal/shell/gossip.py
+++ b/src/gingerturn/internal/shell/gossip.py
@@ -1,4 +1,4 @@
-"""Membership messages over UDP."""
+"""Membership gossip over UDP."""
 
 import asyncio
 import typing
@@ -14,9 +14,9 @@
 
 
 class GossipProtocol(asyncio.DatagramProtocol):
-    """The node's UDP socket.
+    """The UDP endpoint of a node.
 
-    :param node: the node that it serves.
+    :param node: the node.
     """
 
     def __init__(self, node: "nodes.Node") -> None:
@@ -29,12 +29,12 @@
         self.bytes_received = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the socket."""
+        """Store the transport."""
         self._transport = typing.cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, address: tuple[str, int]) -> None:
-        """Check a datagram and hand it to the core; drop what is not authentic, and
-        what comes before the start: whoever sent it will try again."""
+        """Authenticate a datagram and apply it. Datagrams received before the start are
+        ignored, since gossip is repeated."""
         if not self._node.begun:
             return
         self.bytes_received += len(data)
@@ -58,8 +58,8 @@
         )
 
     def send(self, effect: effects.SendGossip) -> None:
-        """Send a message. Each has a time of sending of its own, by which the
-        receiver tells a replay."""
+        """Send a message. Times of sending strictly increase, so that the receiver can
+        detect replays."""
         if self._transport is None:
             return
         self._last_sent = max(clock.now(), self._last_sent + 0.001)
--- a/src/gingerturn/internal/shell/log_client.py
+++ b/src/gingerturn/internal/shell/log_client.py
@@ -1,4 +1,4 @@
-"""The client of the platform's log service, over HTTP."""
+"""HTTP client of the log service."""
 
 import base64
 import urllib.parse
@@ -9,22 +9,22 @@
 from gingerturn.internal.shell import http_calls
 
 MAX_RECORDS = 500
-"""Records asked for in one read."""
+"""Limit of records returned by one read."""
 
 
 EPOCH_HEADER = b"log-epoch"
-"""The service counts in it how often it was restored from a backup."""
+"""Carries the log epoch, which a restore from a backup increments."""
 
 
-class Reply(msgspec.Struct):
-    """What the log service answers to a read of the newest records."""
+class NewestReply(msgspec.Struct):
+    """Body of the answer to a base read."""
 
     end: int
     records: list[str]
 
 
 class ReadReply(msgspec.Struct):
-    """What the log service answers to a read."""
+    """Body of the answer to a read."""
 
     first: int
     oldest: int
@@ -33,7 +33,7 @@
 
 
 class AppendReply(msgspec.Struct):
-    """What the log service answers to an append."""
+    """Body of the answer to an append."""
 
     offset: int
 
@@ -56,10 +56,11 @@
     async def read(
         self, stream: str, offset: int, *, wait: bool = True, hold_ms: int = 0
     ) -> log_service.Records:
-        """Read from an offset, waiting a while for new records if there are none.
+        """Read from an offset.
 
-        :param hold_ms: how long; 0 leaves it to the settings.
-        :raises LogServiceError: when the log service does not answer as it should.
+        :param wait: whether to long poll when there are no new records.
+        :param hold_ms: duration of the long poll; 0 for the one in the settings.
+        :raises LogServiceError: when the read fails or its answer is invalid.
         """
         step = f"read {stream}"
         wait_ms = (hold_ms or self._poll_ms) if wait else 0
@@ -86,18 +87,18 @@
     async def newest(self, stream: str) -> log_service.Newest:
         """Read the newest record of each key.
 
-        :raises LogServiceError: when the log service does not answer as it should.
+        :raises LogServiceError: when the read fails or its answer is invalid.
         """
         step = f"newest {stream}"
         resource = f"/streams/{stream}/newest"
         answer = await self._peer.call("GET", resource, step=step)
         self._peer.check(answer, step)
-        reply = self._peer.decode(answer, Reply, step)
+        reply = self._peer.decode(answer, NewestReply, step)
         contents = self._contents(reply.records, step)
         return log_service.Newest(contents=contents, end=reply.end, epoch=answer.epoch)
 
     async def put(self, stream: str, key: str, record: bytes) -> log_service.Appended:
-        """Append a record under a key; an empty one drops the key.
+        """Append a record under a key; an empty record deletes the key.
 
         :raises LogServiceError: as for :meth:`append`.
         """
@@ -107,9 +108,9 @@
     async def append(self, stream: str, record: bytes) -> log_service.Appended:
         """Append a record.
 
-        :raises LogServiceError: with ``took_effect`` ``None`` unless it is certain
-            that nothing was appended: the connection was never made, or the log
-            service said so itself with a 4xx or 503 status.
+        :raises LogServiceError: with ``took_effect`` ``False`` when nothing was
+            appended for certain (no connection was made, or the status is 4xx or
+            503), else ``None``.
         """
         return await self._append(f"{stream}/records", record)
 
--- a/src/gingerturn/internal/shell/log_side.py
+++ b/src/gingerturn/internal/shell/log_side.py
@@ -1,4 +1,4 @@
-"""The log service's side of the shell: reads and appends as tasks."""
+"""Reads from and appends to the log service, each as a task."""
 
 import typing
 
@@ -12,7 +12,7 @@
 
 
 class LogSide:
-    """Carries out what the core asks of the log.
+    """Carries out the log effects of the core.
 
     :param node: the node.
     :param service: the log service.
@@ -23,7 +23,7 @@
         self._service = service
 
     def handlers(self) -> "nodes.Handlers":
-        """Return the effects that are carried out here."""
+        """Return the handlers of log effects."""
         return {
             effects.ReadLog: self._read_log,
             effects.ReadNewest: self._read_newest,
@@ -32,30 +32,30 @@
         }
 
     async def close(self) -> None:
-        """Close the connections."""
+        """Close the log service."""
         await self._service.close()
 
     async def audit(self) -> list[messages.AuditRecord]:
-        """Return the trail of changes that the log still holds.
+        """Return the audit records that the log retains.
 
         :raises LogServiceError: when the log cannot be read.
         """
-        found: list[messages.AuditRecord] = []
+        audited: list[messages.AuditRecord] = []
         offset = 0
         while True:
             reply = await self._service.read("audit", offset, wait=False)
             decoded = [messages.decode_record(record) for record in reply.contents]
-            found += [r for r in decoded if isinstance(r, messages.AuditRecord)]
+            audited += [r for r in decoded if isinstance(r, messages.AuditRecord)]
             offset = reply.first + len(reply.contents)
             if offset >= reply.end:
-                return found
+                return audited
 
     def _read_log(self, effect: effects.ReadLog) -> None:
         self._node.spawn(self._read_stream(effect))
 
     async def _read_stream(self, effect: effects.ReadLog) -> None:
         stream = effect.stream
-        asked = clock.now()
+        requested_at = clock.now()
         try:
             reply = await self._service.read(
                 stream, effect.offset, wait=effect.wait, hold_ms=effect.long_poll_ms
@@ -81,8 +81,8 @@
                 records=reply.contents,
                 oldest=reply.oldest,
                 end=reply.end,
-                requested_at=asked,
-                held_open_ms=_held_ms(reply, now - asked),
+                requested_at=requested_at,
+                held_open_ms=_held_open_ms(reply, now - requested_at),
                 extra=effect.extra,
                 missing=reply.missing or reply.end < effect.offset,
                 generation=effect.generation,
@@ -95,7 +95,7 @@
 
     async def _newest(self, effect: effects.ReadNewest) -> None:
         stream = effect.stream
-        asked = clock.now()
+        requested_at = clock.now()
         try:
             reply = await self._service.newest(stream)
         except errors.LogServiceError as error:
@@ -115,7 +115,7 @@
                 stream=stream,
                 records=reply.contents,
                 end=reply.end,
-                requested_at=asked,
+                requested_at=requested_at,
                 generation=effect.generation,
                 epoch=ids.LogEpoch(reply.epoch),
             )
@@ -126,7 +126,7 @@
 
     async def _put_record(self, effect: effects.PutRecord) -> None:
         try:
-            done = await self._service.put(effect.stream, effect.key, effect.record)
+            appended = await self._service.put(effect.stream, effect.key, effect.record)
         except errors.LogServiceError as error:
             logs.write("WARNING", "log", f"{error}.")
             epoch = ids.LogEpoch(error.epoch)
@@ -134,7 +134,7 @@
                 events.PutFailed(now=clock.now(), put=effect.put, epoch=epoch)
             )
             return
-        epoch = ids.LogEpoch(done.epoch)
+        epoch = ids.LogEpoch(appended.epoch)
         self._node.apply(events.PutDone(now=clock.now(), put=effect.put, epoch=epoch))
 
     def _append(self, effect: effects.Append) -> None:
@@ -142,7 +142,7 @@
 
     async def _append_record(self, effect: effects.Append) -> None:
         try:
-            done = await self._service.append(effect.stream, effect.record)
+            appended = await self._service.append(effect.stream, effect.record)
         except errors.LogServiceError as error:
             logs.write("WARNING", "log", f"{error}.")
             certain = error.took_effect is False
@@ -159,17 +159,18 @@
             events.AppendDone(
                 now=clock.now(),
                 append=effect.append,
-                offset=done.offset,
-                epoch=ids.LogEpoch(done.epoch),
+                offset=appended.offset,
+                epoch=ids.LogEpoch(appended.epoch),
             )
         )
 
 
-def _held_ms(reply: log_service.Records, elapsed: ids.Milliseconds) -> ids.Milliseconds:
-    """Return for how long the log surely held a read open.
+def _held_open_ms(
+    reply: log_service.Records, elapsed: ids.Milliseconds
+) -> ids.Milliseconds:
+    """Return the time for which the log service held a long poll open.
 
-    One that brings no records was held for as long as was asked for, unless it came
-    back sooner.
+    An empty reply was held for the requested time, unless it arrived sooner.
     """
     if reply.contents or elapsed < reply.held_ms:
         return 0.0
--- a/src/gingerturn/internal/shell/node.py
+++ b/src/gingerturn/internal/shell/node.py
@@ -54,13 +54,13 @@
     "limits",
     "workspaces",
 )
-"""Parts of the settings that come into force with a start."""
+"""Sections of the settings that take effect only at a restart."""
 
-REPORT_MS = 1_000.0
-"""How often it is told what the logs left out."""
+DROPPED_LINES_INTERVAL_MS = 1_000.0
+"""Interval between reports of how many log lines were dropped."""
 
 Handlers = dict[type[effects.Effect], collections.abc.Callable[[typing.Any], None]]
-"""What carries out each type of effect."""
+"""The handler of each type of effect."""
 
 
 class Counters(msgspec.Struct):
@@ -76,14 +76,14 @@
 class Node:
     """One node.
 
-    Invariants: events are applied one at a time and the effects of one are carried
-    out before the next is applied, also when carrying out one makes another; nothing
-    that comes from outside is applied before the start.
+    Invariants: events are applied one at a time; the effects of an event are carried
+    out before the next event is applied, also when an effect causes further events; no
+    external event is applied before :class:`events.Started`.
 
-    :param chosen: its settings.
+    :param chosen: settings of the node.
     :param record: binary file to which events are recorded, if any.
-    :param dialect: names of headers towards callers and the backend server.
-    :param log: the log service, if not one of gingerturn's own form.
+    :param dialect: header names used with callers and the backend server.
+    :param log: the log service; :class:`log_client.LogClient` by default.
     """
 
     def __init__(
@@ -126,10 +126,10 @@
         self._begun = False
         self._ticker: asyncio.TimerHandle | None = None
         self._tick_at = math.inf
-        self._numbers = 0
+        self._last_number = 0
         self._was_ready = False
-        self._report_at = 0.0
-        self._check_callers_at = 0.0
+        self._next_dropped_lines_report = 0.0
+        self._next_caller_check = 0.0
         self._handlers: Handlers = {
             **self.entry.handlers(),
             **self.home.handlers(),
@@ -147,28 +147,30 @@
 
     @property
     def begun(self) -> bool:
-        """Whether the start has been applied."""
+        """Whether the node has applied :class:`events.Started`."""
         return self._begun
 
     @property
     def stopping(self) -> bool:
-        """Whether a planned stop is under way."""
+        """Whether a planned stop is in progress."""
         return self.state.stopping
 
     async def start(self) -> None:
-        """Bind the addresses, begin, and only then take what comes in.
+        """Bind all addresses, apply the start event, then accept connections.
 
-        :raises GingerturnError: naming the address that cannot be bound.
+        :raises GingerturnError: when an address cannot be bound.
         """
-        place = self.settings.node
-        await self._bind(lambda: ingress.CallerConnection(self), place.calls_port)
-        await self._bind(lambda: peers.Accepted(self), place.peers_port)
-        for port in (place.ready_port, place.metrics_port):
+        node_settings = self.settings.node
+        await self._bind(
+            lambda: ingress.CallerConnection(self), node_settings.calls_port
+        )
+        await self._bind(lambda: peers.Accepted(self), node_settings.peers_port)
+        for port in (node_settings.ready_port, node_settings.metrics_port):
             if port:
-                await self.serve_beside(probes.ready_handler(self), port)
-        with listening(place.host, place.gossip_port):
+                await self.serve_http(probes.ready_handler(self), port)
+        with listening(node_settings.host, node_settings.gossip_port):
             await asyncio.get_running_loop().create_datagram_endpoint(
-                lambda: self.gossip, (place.host, place.gossip_port)
+                lambda: self.gossip, (node_settings.host, node_settings.gossip_port)
             )
         self.apply(self._started)
         self._begun = True
@@ -176,16 +178,16 @@
             await server.start_serving()
         self._tick()
 
-    async def serve_beside(self, handler: side_http.Handler, port: int) -> None:
-        """Serve what is not a call on a port of its own, from the start of this node
-        until it closes.
+    async def serve_http(self, handler: side_http.Handler, port: int) -> None:
+        """Serve HTTP requests other than calls on a separate port, from the start of
+        this node until it closes.
 
         :raises GingerturnError: when the address cannot be bound.
         """
         await self._bind(lambda: side_http.Connection(handler), port)
 
     def announce(self, announcement: announcements.Announcement) -> None:
-        """Take what the backend server tells of itself.
+        """Apply an announcement of the backend server.
 
         :raises InvalidArgument: for a value that is not allowed.
         """
@@ -212,9 +214,10 @@
         )
 
     def _check_service(self, announcement: announcements.Announcement) -> None:
-        """Refuse the word of others than the backend servers of this graph.
+        """Reject announcements of services that the route table does not declare.
 
-        Taken for a new start it would put the backend server out.
+        Such an announcement would be treated as a restart and replace the backend
+        server of this node.
         """
         table = self.state.routes
         if table is None or table.table.names_service(announcement.service):
@@ -226,10 +229,10 @@
         )
 
     def reload(self, chosen: settings.Settings) -> None:
-        """Take settings that were read again.
+        """Apply reloaded settings.
 
-        Addresses, names and the log cannot change while the process runs; what of
-        them differs is named in the log and comes into force with the next start.
+        Sections that cannot change while the process runs take effect at the next
+        start; those that differ are named in the log.
         """
         later = [
             part
@@ -244,11 +247,11 @@
         )
         text = "Settings read again."
         if later:
-            text += f" Changes of {', '.join(later)} wait for the next start."
+            text += f" Changes of {', '.join(later)} take effect at the next start."
         logs.write("INFO", "node", text)
 
     def withdraw(self, instance: str = "", started_ms: int = 0) -> None:
-        """Take that the backend server, or one start of it, takes no new work."""
+        """Stop dispatching to the backend server, or to one start of it."""
         self.apply(
             events.BackendWithdrawn(
                 now=clock.now(), instance=instance, started_ms=started_ms
@@ -256,10 +259,10 @@
         )
 
     async def close(self) -> None:
-        """Close everything; what is in flight is cut."""
+        """Close all connections and tasks; calls in flight are aborted."""
         if self._ticker is not None:
             self._ticker.cancel()
-        # Earlier than any tick that an event may still ask for.
+        # Keeps events that are still applied from scheduling another tick.
         self._tick_at = -math.inf
         for server in self._servers:
             server.close()
@@ -278,8 +281,8 @@
             recorded, digest = self._recorder.events, self._recorder.digest
             text = f"Recorded {recorded} events, digest {digest}."
             logs.write("INFO", "node", text)
-            # An announcement may still come in while the node closes; recorded, it
-            # would not be in the digest that was told.
+            # Announcements received during the close would not be covered by the
+            # logged digest.
             self._recorder = None
 
     def apply(self, event: events.Event) -> None:
@@ -298,23 +301,23 @@
             self._schedule_tick()
 
     def next_number(self) -> int:
-        """Return a number never given before by this node: for calls, hosted calls
-        and questions."""
-        self._numbers += 1
-        return self._numbers
+        """Return an id that is unique within this node, for calls, hosted calls and
+        queries."""
+        self._last_number += 1
+        return self._last_number
 
     def keep_task(self, task: asyncio.Task[None]) -> None:
-        """Hold a task until it ends; the loop itself holds only a weak reference."""
+        """Hold a reference to a task until it ends; the event loop holds a weak one."""
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def spawn(self, coroutine: collections.abc.Coroutine[None, None, None]) -> None:
-        """Run a task until it ends or the node closes."""
+        """Run a coroutine as a task, which is cancelled when the node closes."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self.keep_task(task)
 
     def knows_service(self, service: str) -> bool:
-        """Tell whether a service is declared, or was announced by some member."""
+        """Whether a service is configured or announced by any member."""
         if service in self.state.membership.by_service:
             return True
         return service in self.state.configuration.services
@@ -322,7 +325,7 @@
     async def publish(
         self, *, team: ids.TeamName, author: str, base: ids.Revision, text: str
     ) -> effects.PublishEnded:
-        """Publish a team's document and wait until its fate is known."""
+        """Publish a team's document and wait for the outcome."""
         request = os.urandom(8).hex()
         future: asyncio.Future[effects.PublishEnded] = (
             asyncio.get_running_loop().create_future()
@@ -343,11 +346,10 @@
     async def _bind(
         self, make: collections.abc.Callable[[], asyncio.Protocol], port: int
     ) -> None:
-        """Bind an address; it takes connections once the node has begun.
+        """Bind an address; it accepts connections only once the node has started.
 
-        An announcement that came before the start was taken into a state that no
-        member was told of, and since the following ones changed nothing, the backend
-        server stayed unknown to the others for as long as the node ran.
+        An announcement applied before the start event would not be advertised to the
+        members, nor would its renewals, since they change nothing.
         """
         host = self.settings.node.host
         with listening(host, port):
@@ -366,22 +368,22 @@
         for effect in out:
             self._handlers[type(effect)](effect)
 
-    def _note_readiness(self) -> None:
-        """Write when the readiness changed, and each second what was left out."""
+    def _log_readiness(self) -> None:
+        """Log changes of readiness, and periodically count dropped log lines."""
         ready = readiness.is_ready(self.state)
         if ready != self._was_ready:
             self._was_ready = ready
             text = "Ready for callers." if ready else "Not ready for callers."
             logs.write("INFO", "node", text, version=self.state.version)
         now = clock.now()
-        if now >= self._report_at:
-            self._report_at = now + REPORT_MS
+        if now >= self._next_dropped_lines_report:
+            self._next_dropped_lines_report = now + DROPPED_LINES_INTERVAL_MS
             self.counters.lines_dropped += logs.report_left_out()
 
     def _check_callers(self) -> None:
         now = clock.now()
-        if now >= self._check_callers_at:
-            self._check_callers_at = now + caller_limits.CHECK_MS
+        if now >= self._next_caller_check:
+            self._next_caller_check = now + caller_limits.CHECK_MS
             caller_limits.check_times(self, now)
 
     def _publish_ended(self, effect: effects.PublishEnded) -> None:
@@ -394,7 +396,7 @@
             logs.write(effect.level, effect.part, effect.text)
 
     def _log_decision(self, effect: effects.LogDecision) -> None:
-        # Most lines are left out, so this comes before anything is made for one.
+        # Most lines are dropped, so check before building one.
         failure = decisions.is_failure(effect.rule, effect.status)
         if not logs.may_write_decision(failure=failure):
             return
@@ -419,17 +421,17 @@
         self.stopped.set()
 
     def _started_event(self) -> events.Started:
-        place = self.settings.node
+        node_settings = self.settings.node
         return events.Started(
             now=clock.now(),
             seed=int.from_bytes(os.urandom(8)) >> 1,
             node=ids.NodeId(self.name),
             incarnation=ids.Incarnation(self.incarnation),
-            host=place.host,
-            peers_port=place.advertised_peers_port or place.peers_port,
-            gossip_port=place.gossip_port,
-            zone=place.zone,
-            region=place.region,
+            host=node_settings.host,
+            peers_port=node_settings.advertised_peers_port or node_settings.peers_port,
+            gossip_port=node_settings.gossip_port,
+            zone=node_settings.zone,
+            region=node_settings.region,
             decisions=self.settings.limits.decisions,
             seeds=tuple(self.settings.peers),
             routed=self.settings.routing.table,
@@ -446,16 +448,17 @@
         self.apply(events.Tick(now=clock.now()))
         self.home.pool.close_idle()
         self.entry.record_durations()
-        self._note_readiness()
+        self._log_readiness()
         self._check_callers()
         self.counters.control_seconds += time.thread_time() - begun
         self._schedule_tick()
 
     def _schedule_tick(self) -> None:
-        """Tick when the core is next due, unless a tick is due as early already."""
+        """Schedule the next tick of the core, unless an earlier one is scheduled."""
         due = reducer.next_tick(self.state)
         if due >= self._tick_at:
-            # Never put off: a deadline that has just passed would be, by each event.
+            # Rescheduling would let a steady flow of events postpone an expired
+            # deadline indefinitely.
             return
         if self._ticker is not None:
             self._ticker.cancel()
@@ -481,9 +484,9 @@
 
 @contextlib.contextmanager
 def listening(host: str, port: int) -> collections.abc.Iterator[None]:
-    """Name the address that cannot be bound.
+    """Convert errors of binding an address.
 
-    :raises GingerturnError: instead of the system's own error, which names none.
+    :raises GingerturnError: naming the address, which the ``OSError`` does not.
     """
     try:
         yield
@@ -496,7 +499,7 @@
 
 
 async def run(node: Node) -> None:
-    """Run a node until it has stopped, or its drain takes too long."""
+    """Wait for a node's planned stop, then briefly for its callers' connections."""
     await node.stopped.wait()
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(1.0):
--- a/src/gingerturn/internal/shell/peers.py
+++ b/src/gingerturn/internal/shell/peers.py
@@ -1,4 +1,4 @@
-"""Connections between nodes: authentic, multiplexed, one frame after another."""
+"""Authenticated, multiplexed connections between nodes."""
 
 import asyncio
 import hmac
@@ -15,25 +15,25 @@
 
 
 CONNECT_TIMEOUT_S = 1.0
-HELLO_TIMEOUT_S = 2.0
+HANDSHAKE_TIMEOUT_S = 2.0
 NONCE_BYTES = 16
-MAX_UNPROVEN = 4_096
-"""Bytes that a stranger may make a node buffer before it has proved itself."""
+MAX_UNAUTHENTICATED_BYTES = 4_096
+"""Limit of bytes buffered for a peer that is not authenticated yet."""
 
 MAX_COMPRESSING = 100
-"""Connections whose frames a node compresses. Both streams of one take 25 kB together;
-at the design size some 200 connections lead to other zones and 4.5 MB are left. Frames
-on the others are plain, which the receiver sees from each."""
+"""Limit of connections whose frames a node compresses, which bounds memory: the two
+streams of a connection take 25 kB. Frames on further connections are sent uncompressed;
+each frame shows whether it is."""
 
 _PART = "peers"
 
 
 class FrameProtocol(asyncio.Protocol):
-    """What both ends of a connection share: framing and the proof.
+    """Framing and mutual authentication, common to both ends of a connection.
 
-    The dialling side sends a nonce; the other answers with its own and a proof over
-    both; the dialling side proves itself last. Proofs name the side, so that one
-    cannot be sent back as the other's.
+    The dialling side sends a nonce; the accepting side replies with its own nonce and
+    a proof over both; the dialling side sends its proof last. A proof includes the
+    side's role, so that it cannot be reflected.
 
     :param node: this node.
     """
@@ -43,67 +43,71 @@
         self._buffer = bytearray()
         self._transport: asyncio.Transport = typing.cast(asyncio.Transport, None)
         self._nonce = os.urandom(NONCE_BYTES)
-        self._proven = False
+        self._authenticated = False
         self._deflater: compression.Deflater | None = None
         self._inflater: compression.Inflater | None = None
         self.peer = ids.NodeId("")
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the new connection and bound the time for its proof."""
+        """Set up the connection and start the handshake timeout."""
         self._transport = typing.cast(asyncio.Transport, transport)
-        sockets.bound_silence(transport)
+        sockets.set_dead_peer_timeouts(transport)
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(HELLO_TIMEOUT_S, self._check_proven)
+        self._timer = loop.call_later(HANDSHAKE_TIMEOUT_S, self._abort_unauthenticated)
 
     def data_received(self, data: bytes) -> None:
-        """Split and handle frames; bad ones close the connection."""
+        """Split and handle frames; an invalid one aborts the connection."""
         self._buffer += data
         try:
             for content in frames.split(self._buffer):
-                if not self._proven:
-                    self._check_unproven(len(content))
-                    self._on_greeting(frames.decode(content))
+                if not self._authenticated:
+                    self._check_unauthenticated_size(len(content))
+                    self._on_handshake_frame(frames.decode(content))
                     continue
                 self.on_frame(frames.decode(content, self._inflater))
-            # Checked last: the proof and a long call may come in one piece.
-            if not self._proven:
-                self._check_unproven(len(self._buffer))
+            # Checked after the frames: the proof and a long call may arrive together.
+            if not self._authenticated:
+                self._check_unauthenticated_size(len(self._buffer))
         except errors.GingerturnError as error:
-            logs.write("WARNING", _PART, f"Connection of {self._where()}: {error}.")
+            logs.write("WARNING", _PART, f"Connection of {self._peer_name()}: {error}.")
             self._transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Leave the compression to another connection."""
+        """Free this connection's place among those that are compressed."""
         self._node.compressing.discard(self)
 
     def send(self, frame: frames.Frame) -> None:
-        """Write a frame."""
+        """Write a frame, unless the connection is closing."""
         if not self._transport.is_closing():
             self._transport.write(frames.encode(frame, self._deflater))
 
     def on_frame(self, frame: frames.Frame) -> None:
-        """Handle a frame of a proven peer."""
+        """Handle a frame of an authenticated peer."""
         raise NotImplementedError
 
     def close(self) -> None:
-        """Close once what was written is sent."""
+        """Close after flushing buffered data."""
         self._transport.close()
 
-    def _check_unproven(self, count: int) -> None:
-        if count > MAX_UNPROVEN:
+    def _check_unauthenticated_size(self, count: int) -> None:
+        if count > MAX_UNAUTHENTICATED_BYTES:
             raise errors.AuthenticationError(
-                "too many bytes before the proof", step="greet", peer=self._where()
+                "too many bytes before authentication",
+                step="authenticate",
+                peer=self._peer_name(),
             )
 
-    def _on_greeting(self, frame: frames.Frame) -> None:
+    def _on_handshake_frame(self, frame: frames.Frame) -> None:
         if not isinstance(frame, frames.Hello):
             raise errors.AuthenticationError(
-                "a frame before the proof", step="greet", peer=self._where()
+                "a frame before authentication",
+                step="authenticate",
+                peer=self._peer_name(),
             )
-        self._greet(frame)
+        self._on_hello(frame)
 
-    def _greet(self, hello: frames.Hello) -> None:
+    def _on_hello(self, hello: frames.Hello) -> None:
         raise NotImplementedError
 
     def _proof(
@@ -119,7 +123,9 @@
             if hmac.compare_digest(expected, hello.proof):
                 return
         raise errors.AuthenticationError(
-            "the peer does not know the secret", step="greet", peer=self._where()
+            "the proof matches no shared secret",
+            step="authenticate",
+            peer=self._peer_name(),
         )
 
     def _hello(self, proof: bytes) -> frames.Hello:
@@ -132,8 +138,8 @@
             zone=self._node.settings.node.zone,
         )
 
-    def _set_proven(self, hello: frames.Hello) -> None:
-        self._proven = True
+    def _set_authenticated(self, hello: frames.Hello) -> None:
+        self._authenticated = True
         self.peer = ids.NodeId(hello.node)
         own = self._node.settings.node.zone
         if own and hello.zone and hello.zone != own:
@@ -144,21 +150,21 @@
         if self._timer is not None:
             self._timer.cancel()
 
-    def _check_proven(self) -> None:
-        if not self._proven:
+    def _abort_unauthenticated(self) -> None:
+        if not self._authenticated:
             self._transport.abort()
 
-    def _where(self) -> str:
+    def _peer_name(self) -> str:
         if self.peer:
             return self.peer
         return str(self._transport.get_extra_info("peername"))
 
 
 class Dialled(FrameProtocol):
-    """The dialling end: carries this node's attempts and questions.
+    """The dialling end, which carries this node's attempts and queries.
 
-    :param ready: called once the peer has proved itself.
-    :param lost: called when the connection is gone.
+    :param ready: called once the peer is authenticated.
+    :param lost: called when the connection is lost.
     """
 
     def __init__(
@@ -173,20 +179,20 @@
         self.write_paused = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Greet first."""
+        """Send the first hello."""
         super().connection_made(transport)
         self.send(self._hello(b""))
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Tell the link."""
+        """Notify the link."""
         super().connection_lost(error)
         self._lost()
 
     def on_frame(self, frame: frames.Frame) -> None:
-        """Hand a frame to the node."""
+        """Dispatch a frame of a home node."""
         self._node.links.on_link_frame(frame)
 
-    def _greet(self, hello: frames.Hello) -> None:
+    def _on_hello(self, hello: frames.Hello) -> None:
         self._check_proof(hello, b"accepting", self._nonce, hello.nonce)
         proof = self._proof(
             self._node.secrets[0],
@@ -195,28 +201,28 @@
             self._nonce,
             hello.nonce,
         )
-        # Before anything is compressed: the other end takes that only once this is
-        # proven to it.
+        # Sent uncompressed: the peer decompresses frames only once it has
+        # authenticated this side.
         self.send(self._hello(proof))
-        self._set_proven(hello)
+        self._set_authenticated(hello)
         self._ready()
 
 
 class Accepted(FrameProtocol):
-    """The accepting end: carries the calls that this node hosts for the peer."""
+    """The accepting end, which carries the calls that this node hosts for the peer."""
 
     def __init__(self, node: "nodes.Node") -> None:
         super().__init__(node)
-        self._their_nonce = b""
+        self._peer_nonce = b""
         self.hosted: dict[int, ids.HostedId] = {}
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep count of connections, for the planned stop."""
+        """Register the connection, so that the node closes it at its stop."""
         super().connection_made(transport)
         self._node.accepted.add(self)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Cancel what the peer waited for."""
+        """Cancel the calls hosted for the peer."""
         super().connection_lost(error)
         self._node.accepted.discard(self)
         for hosted in list(self.hosted.values()):
@@ -224,12 +230,12 @@
         self.hosted.clear()
 
     def on_frame(self, frame: frames.Frame) -> None:
-        """Hand a frame to the node."""
+        """Dispatch a frame of an entry node."""
         self._node.links.on_accepted_frame(self, frame)
 
-    def _greet(self, hello: frames.Hello) -> None:
-        if not self._their_nonce:
-            self._their_nonce = hello.nonce
+    def _on_hello(self, hello: frames.Hello) -> None:
+        if not self._peer_nonce:
+            self._peer_nonce = hello.nonce
             proof = self._proof(
                 self._node.secrets[0],
                 b"accepting",
@@ -239,12 +245,12 @@
             )
             self.send(self._hello(proof))
             return
-        self._check_proof(hello, b"dialling", self._their_nonce, self._nonce)
-        self._set_proven(hello)
+        self._check_proof(hello, b"dialling", self._peer_nonce, self._nonce)
+        self._set_authenticated(hello)
 
 
 class Link:
-    """The way to one peer: dials when needed and holds frames until then.
+    """The outgoing side to one peer: connects on demand and queues frames meanwhile.
 
     :param node: this node.
     :param address: the peer's address.
@@ -257,24 +263,24 @@
         self._is_ready = False
         self._waiting: list[frames.Frame] = []
         self._sent: set[int] = set()
-        self._dialling: asyncio.Task[None] | None = None
+        self._dial_task: asyncio.Task[None] | None = None
 
     def send(self, frame: frames.Frame) -> None:
-        """Send a frame, now or once the connection is there."""
+        """Send a frame, or queue it until the connection is established."""
         if self._is_ready and self._protocol is not None:
             self._sent.add(frame.call)
             self._protocol.send(frame)
             return
         self._waiting.append(frame)
-        if self._dialling is None:
-            self._dialling = asyncio.get_running_loop().create_task(self._dial())
+        if self._dial_task is None:
+            self._dial_task = asyncio.get_running_loop().create_task(self._dial())
 
     def forget(self, call: int) -> None:
-        """Forget a call that has ended."""
+        """Stop tracking a call that has ended."""
         self._sent.discard(call)
 
     def close(self) -> None:
-        """Close the connection."""
+        """Close the connection, if there is one."""
         if self._protocol is not None:
             self._protocol.close()
 
@@ -288,12 +294,14 @@
                     self._address.port,
                 )
         except (OSError, TimeoutError) as error:
-            logs.write("WARNING", _PART, f"Dialling {self._address} failed: {error}.")
+            logs.write(
+                "WARNING", _PART, f"Connecting to {self._address} failed: {error}."
+            )
             self._on_lost()
 
     def _on_ready(self) -> None:
         self._is_ready = True
-        self._dialling = None
+        self._dial_task = None
         waiting, self._waiting = self._waiting, []
         for frame in waiting:
             self.send(frame)
@@ -301,7 +309,7 @@
     def _on_lost(self) -> None:
         self._is_ready = False
         self._protocol = None
-        self._dialling = None
+        self._dial_task = None
         unsent = {frame.call for frame in self._waiting}
         self._waiting.clear()
         sent, self._sent = self._sent, set()
--- a/src/gingerturn/internal/shell/probes.py
+++ b/src/gingerturn/internal/shell/probes.py
@@ -1,4 +1,4 @@
-"""Readiness and metrics of a node, for the platform that runs it."""
+"""Readiness and metrics endpoints of a node."""
 
 import typing
 
@@ -9,22 +9,22 @@
     from gingerturn.internal.shell import node as nodes
 
 METRICS_PATH = "/metrics"
-TEXT = "text/plain; version=0.0.4"
+TEXT_CONTENT_TYPE = "text/plain; version=0.0.4"
 
 
 def ready_handler(node: "nodes.Node") -> side_http.Handler:
-    """Return what answers whether callers may be sent to this node."""
+    """Return the handler of readiness and metrics requests."""
 
     def handle(request: side_http.Request) -> side_http.Reply:
         if request.path == METRICS_PATH:
-            return side_http.Reply(200, metrics(node), TEXT)
+            return side_http.Reply(200, metrics(node), TEXT_CONTENT_TYPE)
         return side_http.Reply(200 if readiness.is_ready(node.state) else 503)
 
     return handle
 
 
 def _level_ages(state: states.State) -> list[tuple[str, float]]:
-    """Return how many whole requests were decided by a word of up to each age."""
+    """Return the cumulative histogram of the ages of levels that decided requests."""
     bounds = [f"{bound:g}" for bound in levels.AGE_BOUNDS_MS] + ["+Inf", "none"]
     rows: list[tuple[str, float]] = []
     total = 0
@@ -34,16 +34,16 @@
     return rows
 
 
-def _workspaces(
+def _workspace_metrics(
     state: states.State,
 ) -> list[tuple[str, str, list[tuple[str, float]]]]:
-    """Return what workspaces used here, and their caps; as many as are counted."""
-    use = sorted(state.caps.usage.items())
-    passed = [(_label(name), float(counted.admitted)) for name, counted in use]
-    refused = [(_label(name), float(counted.refused)) for name, counted in use]
+    """Return the metrics of the workspaces whose usage this node counts."""
+    usage = sorted(state.caps.usage.items())
+    passed = [(_label(name), float(counted.admitted)) for name, counted in usage]
+    refused = [(_label(name), float(counted.refused)) for name, counted in usage]
     index = state.routes
-    known = [] if index is None else [index.workspace(name) for name, _ in use]
-    caps = [(_label(w.name), w.rate) for w in known if w is not None and w.rate > 0]
+    records = [] if index is None else [index.workspace(name) for name, _ in usage]
+    caps = [(_label(w.name), w.rate) for w in records if w is not None and w.rate > 0]
     return [
         ("workspace_passed_total", "counter", passed),
         ("workspace_refused_total", "counter", refused),
@@ -56,8 +56,8 @@
     return f'{{workspace="{escaped}"}}'
 
 
-def _missing(state: states.State) -> list[tuple[str, float]]:
-    """Return how many reads of each stream asked for an offset that the log lacks."""
+def _missing_reads(state: states.State) -> list[tuple[str, float]]:
+    """Return per stream how many reads requested an offset that the log lacks."""
     return [
         (f'{{stream="{name}"}}', stream.missing_total)
         for name, stream in sorted(state.streams.items())
@@ -65,7 +65,7 @@
 
 
 def metrics(node: "nodes.Node") -> bytes:
-    """Return counters, gauges and latencies in the Prometheus text format."""
+    """Return all metrics in the Prometheus text format."""
     state = node.state
     backend = state.backend
     lines: list[str] = []
@@ -97,14 +97,14 @@
     add("level_age_ms_bucket", "counter", *_level_ages(state))
     version = 0 if state.routes is None else state.routes.version
     add("route_version", "gauge", ("", version))
-    add("log_reads_missing_total", "counter", *_missing(state))
+    add("log_reads_missing_total", "counter", *_missing_reads(state))
     add("log_epoch", "gauge", ("", state.log.highest))
     add("log_restores_total", "counter", ("", state.log.restores))
     add("requests_held", "gauge", ("", len(state.caps.waiting_calls)))
     add("cap_share_kept", "gauge", ("", state.cap_allocator.delegated_share))
     add("keys_proven_age_ms", "gauge", ("", freshness.advertised_age_ms(state)))
     add("keys_closed", "gauge", ("", freshness.is_stale(state)))
-    for name, kind, rows in _workspaces(state):
+    for name, kind, rows in _workspace_metrics(state):
         add(name, kind, *rows)
     quantiles = [
         (f'{{quantile="{q / 100:g}"}}', node.durations.get_value_at_percentile(q) / 1e6)
--- a/src/gingerturn/internal/shell/process.py
+++ b/src/gingerturn/internal/shell/process.py
@@ -1,4 +1,4 @@
-"""The process around a node: event loop, collection of garbage, variables of ours."""
+"""Process setup of a node: event loop, garbage collection, environment variables."""
 
 import asyncio
 import collections.abc
@@ -13,16 +13,16 @@
 from gingerturn.internal import checks
 
 RECORD_VARIABLE = "GINGERTURN_RECORD"
-"""Names a file to which a node records its events, for ``gingerturn replay``. For use
-by hand: it grows by some kilobytes a second."""
+"""File to which a node records its events, for ``gingerturn replay``. For debugging: it
+grows by some kilobytes a second."""
 
 ADVERTISE_VARIABLE = "GINGERTURN_ADVERTISED_PEERS_PORT"
-"""What other nodes connect to in place of the port in the settings. For a proxy in
-between, as the fault soak sets up."""
+"""Port advertised to other nodes in place of the one in the settings, for a proxy
+between nodes."""
 
 
 def advertised_port() -> int:
-    """Return the port that other nodes connect to, 0 for the one in the settings.
+    """Return the port advertised to other nodes, 0 for the one in the settings.
 
     :raises InvalidDocument: when the variable holds no port.
     """
@@ -40,10 +40,10 @@
 ) -> int:
     """Run a node until it is stopped, and return its exit status.
 
-    :param main: takes the file to record to, if one is named.
+    :param main: called with the file to record events to, if any.
     """
-    # What is loaded by now lives as long as the process; leaving it out of every
-    # later collection keeps pauses short.
+    # Objects allocated so far live as long as the process; freezing them keeps
+    # collection pauses short.
     gc.collect()
     gc.freeze()
     gc.enable()
--- a/src/gingerturn/internal/shell/side_http.py
+++ b/src/gingerturn/internal/shell/side_http.py
@@ -1,7 +1,7 @@
-"""A small HTTP server for what is not a call: readiness, metrics, announcements.
+"""Minimal HTTP server for readiness, metrics and announcements.
 
-The administration API is served by a framework; loading it takes 80 to 160 ms,
-which a node that callers wait for cannot spend before it is ready.
+The web framework of the administration API is not used here, since importing it would
+delay a node's start.
 """
 
 import asyncio
@@ -15,13 +15,13 @@
 from gingerturn.internal.shell import heads
 
 MAX_BODY = 65_536
-"""Bytes of a request's body: an announcement has some hundreds."""
+"""Limit of a request's body, in bytes."""
 
 _PART = "side"
 
 
 class Request(msgspec.Struct, frozen=True):
-    """A whole request."""
+    """A complete request."""
 
     method: str
     path: str
@@ -29,7 +29,7 @@
 
 
 class Reply(msgspec.Struct, frozen=True):
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     body: bytes = b""
@@ -40,9 +40,9 @@
 
 
 class Connection(asyncio.Protocol):
-    """One connection.
+    """A client connection.
 
-    :param handler: what answers its requests.
+    :param handler: answers its requests.
     """
 
     def __init__(self, handler: Handler) -> None:
@@ -53,42 +53,42 @@
         self._body = bytearray()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the new connection."""
+        """Store the transport."""
         self._transport = typing.cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Feed the parser."""
+        """Parse received bytes; an invalid request aborts the connection."""
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            logs.write("WARNING", _PART, f"No valid request: {error}.")
+            logs.write("WARNING", _PART, f"Invalid request: {error}.")
             self._transport.abort()
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
+        """Reset the state of the previous request."""
         self._target = b""
         self._body.clear()
 
     def on_url(self, url: bytes) -> None:
-        """Gather the target; it may come in pieces."""
+        """Collect the target, which may arrive in pieces."""
         self._target += url
 
     def on_body(self, body: bytes) -> None:
-        """Gather the body, up to its bound."""
+        """Collect the body, up to its limit."""
         if len(self._body) <= MAX_BODY:
             self._body += body
 
     def on_message_complete(self) -> None:
         """Answer the request."""
         reply = self._reply()
-        keep = self._parser.should_keep_alive()
+        keep_alive = self._parser.should_keep_alive()
         head = heads.status_line(reply.status)
         head += b"content-type: %b\r\n" % reply.content_type.encode()
         head += b"content-length: %d\r\n" % len(reply.body)
-        if not keep:
+        if not keep_alive:
             head += b"connection: close\r\n"
         self._transport.write(head + b"\r\n" + reply.body)
-        if not keep:
+        if not keep_alive:
             self._transport.close()
 
     def _reply(self) -> Reply:
@@ -102,6 +102,6 @@
         try:
             return self._handler(request)
         except Exception as error:
-            # One bad request must not end the process that carries the calls.
+            # A handler's error must not end the process.
             logs.write("ERROR", _PART, f"{request.path}: {error!r}.")
             return Reply(500)
--- a/tests/cover/test_greeting.py
+++ b/tests/cover/test_greeting.py
@@ -10,7 +10,7 @@
 def _accepted() -> tuple[nodes.Node, peers.Accepted, transports.Transport]:
     node = nodes.Node(builders.settings("home"))
     accepted = peers.Accepted(node)
-    accepted._check_proven = lambda: None  # type: ignore[method-assign]
+    accepted._abort_unauthenticated = lambda: None  # type: ignore[method-assign]
     transport = transports.Transport()
     accepted._transport = transport  # type: ignore[assignment]
     return node, accepted, transport
@@ -52,7 +52,7 @@
         call=7,
         terms=builders.call_terms(),
         head=b"PUT / HTTP/1.1\r\n",
-        body=b"x" * 4 * peers.MAX_UNPROVEN,
+        body=b"x" * 4 * peers.MAX_UNAUTHENTICATED_BYTES,
         whole=True,
     )
     accepted.data_received(proof + frames.encode(call))
@@ -73,7 +73,7 @@
     _, accepted, transport = _accepted()
     hello = frames.Hello(
         call=0,
-        node="x" * 2 * peers.MAX_UNPROVEN,
+        node="x" * 2 * peers.MAX_UNAUTHENTICATED_BYTES,
         incarnation=1,
         nonce=b"n",
     )
--- a/tests/nocover/test_start_of_a_node.py
+++ b/tests/nocover/test_start_of_a_node.py
@@ -82,7 +82,7 @@
         node.announce(msgspec.structs.replace(ANNOUNCEMENT, sequence=sequence))
         return side_http.Reply(200)
 
-    await node.serve_beside(handle, beside)
+    await node.serve_http(handle, beside)
     try:
         with contextlib.suppress(ConnectionRefusedError):
             await _announce(beside, 1)
