--- a/tests/cover/test_administration_tokens.py
+++ b/tests/cover/test_administration_tokens.py
@@ -1,4 +1,4 @@
-"""Who may publish a team's document through the administration API."""
+"""Authorization of publications through the administration API."""
 
 import hashlib
 import types
@@ -15,7 +15,7 @@
 
 
 class _Node:
-    """What the administration API asks of a node when a document is published."""
+    """Stub of a node that records publications."""
 
     def __init__(self, teams: dict[str, str]) -> None:
         self.published: list[str] = []
@@ -28,8 +28,8 @@
             ]
         )
 
-    async def publish(self, *, team: str, **told: object) -> object:
-        """Note that a document was published."""
+    async def publish(self, *, team: str, **rest: object) -> object:
+        """Record the team of a publication."""
         self.published.append(team)
         return types.SimpleNamespace(accepted=True, revision=1, problem="")
 
@@ -74,12 +74,14 @@
         "unknown, none",
     ],
 )
-def test_without_it_nothing_is_published(team: str, headers: dict[str, str]) -> None:
+def test_nothing_is_published_without_the_token_of_the_team(
+    team: str, headers: dict[str, str]
+) -> None:
     node = _Node(TOKENS)
     assert _publish(node, team, headers) == 403
     assert not node.published
 
 
-def test_where_no_team_has_a_token_anyone_who_reaches_the_address_may() -> None:
+def test_publishing_needs_no_token_when_no_teams_are_configured() -> None:
     node = _Node({})
     assert _publish(node, "shop", {}) == 200
--- a/tests/cover/test_logs.py
+++ b/tests/cover/test_logs.py
@@ -1,4 +1,4 @@
-"""Logs: bounded, failures first, and never waiting for a reader."""
+"""Logs: rate limits, non-blocking output, and the lines of decisions."""
 
 import collections.abc
 import datetime
@@ -31,7 +31,7 @@
     assert budget.take(6.0)
 
 
-def test_a_reader_that_stalls_costs_whole_lines_and_never_blocks(
+def test_a_stalled_reader_loses_whole_lines_and_never_blocks(
     pipe: tuple[int, int],
 ) -> None:
     read, write = pipe
@@ -51,7 +51,7 @@
     assert found == line * (1_000 - output.left_out)
 
 
-def test_a_reader_that_is_gone_ends_nothing(pipe: tuple[int, int]) -> None:
+def test_writing_to_a_closed_pipe_raises_no_error(pipe: tuple[int, int]) -> None:
     read, write = pipe
     output = logs.Output(write)
     os.close(read)
@@ -63,7 +63,7 @@
 def json_lines(
     pipe: tuple[int, int], monkeypatch: pytest.MonkeyPatch
 ) -> collections.abc.Iterator[int]:
-    """Set up JSON lines at warnings, and return where they can be read."""
+    """Log JSON lines at WARNING, and yield the descriptor to read them from."""
     read, write = pipe
     monkeypatch.setattr(logs._state, "output", logs.Output(write))
     logs.set_up(settings.Logging(json=True, level="WARNING"), node="n1")
@@ -71,17 +71,17 @@
     logs._state.output = None
 
 
-def test_a_json_line_holds_its_fields(json_lines: int) -> None:
+def test_a_json_line_has_its_fields(json_lines: int) -> None:
     logs.write("INFO", "entry", "Below the level.")
     logs.write("WARNING", "entry", "It was so.", request="r1")
     line = json.loads(os.read(json_lines, 4_096))
     assert (line["node"], line["part"], line["request"]) == ("n1", "entry", "r1")
     assert (line["level"], line["text"]) == ("WARNING", "It was so.")
-    told = datetime.datetime.fromisoformat(line["time"])
-    assert told.utcoffset() is not None
+    logged_at = datetime.datetime.fromisoformat(line["time"])
+    assert logged_at.utcoffset() is not None
 
 
-def test_json_lines_load_no_library_for_text() -> None:
+def test_json_lines_import_no_library_for_text() -> None:
     code = (
         "import sys\n"
         "from gingerturn import settings\n"
@@ -91,17 +91,17 @@
         "sys.exit('loguru' in sys.modules or 'tomllib' in sys.modules)\n"
     )
     source = pathlib.Path(logs.__file__).parents[2]
-    ended = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", code],
         env={"PYTHONPATH": str(source)},
         capture_output=True,
         check=False,
     )
-    assert ended.returncode == 0, ended.stderr
-    assert json.loads(ended.stdout)["text"] == "Up."
+    assert completed.returncode == 0, completed.stderr
+    assert json.loads(completed.stdout)["text"] == "Up."
 
 
-def test_a_level_that_is_none_is_refused() -> None:
+def test_an_unknown_level_is_refused() -> None:
     chosen = builders.settings()
     chosen.logging.level = "LOUD"
     with pytest.raises(errors.InvalidDocument, match="level is 'LOUD'; allowed"):
@@ -112,12 +112,12 @@
     logs.set_up(settings.Logging(), node="n1")
     logs.write("INFO", "node", "Up.")
     loguru.logger.remove()
-    told = capsys.readouterr()
-    assert "n1 [node] Up." in told.err
-    assert told.out == ""
+    captured = capsys.readouterr()
+    assert "n1 [node] Up." in captured.err
+    assert captured.out == ""
 
 
-def test_a_refused_request_is_told_with_id_rule_figures_and_version() -> None:
+def test_a_refused_request_is_logged_with_id_rule_kind_and_version() -> None:
     state = routed.node_state()
     out = reducer.reduce(state, routed.arrived(1, request="r1"))
     line = builders.only(out, effects.LogDecision)
@@ -126,8 +126,8 @@
     assert line.status == 503
 
 
-def test_the_ways_of_a_request_can_be_followed_by_its_id() -> None:
-    """From the entry's refusal, by the upstream it names, to the home's reason."""
+def test_a_request_can_be_traced_across_nodes_by_its_id() -> None:
+    """The entry node's line names the upstream, whose line has the reason."""
     entry = routed.node_state()
     builders.add_members(entry, builders.member("n2", "plans"))
     sent = routed.sent_to(reducer.reduce(entry, routed.arrived(1, request="r1")))
@@ -149,11 +149,11 @@
     assert (last.request, last.upstream) == ("r1", "n2")
     reason = builders.only(at_home, effects.LogDecision)
     assert (reason.request, reason.rule) == ("r1", int(decisions.Rule.LEAVING))
-    told = builders.only(at_entry, effects.RefuseCall)
-    assert told.decision == reason.decision
+    refused = builders.only(at_entry, effects.RefuseCall)
+    assert refused.decision == reason.decision
 
 
-def test_an_answered_failure_counts_as_failure_and_a_success_does_not() -> None:
+def test_a_failed_answer_counts_as_failure_and_a_successful_one_does_not() -> None:
     assert decisions.is_failure(decisions.Rule.SENT, 500)
     assert not decisions.is_failure(decisions.Rule.SENT, 200)
     assert decisions.is_failure(decisions.Rule.RETRIED, 0)
