--- a/src/gingerturn/internal/shell/backend_http.py
+++ b/src/gingerturn/internal/shell/backend_http.py
@@ -78,7 +78,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Store the transport and enable the detection of a silent backend server."""
         self._transport = typing.cast(asyncio.Transport, transport)
-        sockets.bound_silence(transport)
+        sockets.set_dead_peer_timeouts(transport)
 
     def eof_received(self) -> None:
         """Complete an answer that is delimited by the end of the connection.
