--- a/src/gingerturn/internal/shell/admin.py
+++ b/src/gingerturn/internal/shell/admin.py
@@ -195,7 +195,7 @@
         found = await self._node.links.why(decision_id)
         if found is None:
             raise exceptions.NotFoundException(
-                f"decision {decision_id!r} is not stored (any more)"
+                f"decision {decision_id!r} is not held (any more)"
             )
         return found
 
@@ -274,7 +274,7 @@
         found = [r for r in known if ids.fingerprint_text(r) == request_id]
         if not found:
             raise exceptions.NotFoundException(
-                f"request {request_id!r} is not in quarantine on this node"
+                f"request {request_id!r} is not kept out here"
             )
         cleared = events.RequestCleared(
             now=clock.now(), request=ids.Fingerprint(found[0]), author=author
@@ -350,7 +350,7 @@
             return
         logs.write("WARNING", _PART, f"Refused a publication for team {team}.")
         raise exceptions.PermissionDeniedException(
-            f"the token is not that of team {team!r}"
+            f"the token is not one of team {team!r}"
         )
 
 
--- a/src/gingerturn/internal/shell/daemon.py
+++ b/src/gingerturn/internal/shell/daemon.py
@@ -111,9 +111,9 @@
     if administration is not None:
         await administration.ended()
     if drained:
-        logs.write("INFO", "node", "Stopped; no call was aborted.")
+        logs.write("INFO", "node", "Stopped; no call was cut.")
         return EXIT_CLEAN
-    logs.write("WARNING", "node", f"Stopped early; {unfinished} calls were aborted.")
+    logs.write("WARNING", "node", f"Stopped early; {unfinished} calls were cut.")
     return EXIT_DRAIN_CUT
 
 
--- a/src/gingerturn/internal/shell/links.py
+++ b/src/gingerturn/internal/shell/links.py
@@ -106,7 +106,7 @@
         self._sent_level_requests.pop(call, None)
         reply = self._queries.pop(call, None)
         if reply is not None and not reply.done():
-            reply.set_exception(ConnectionError("the connection to the peer was lost"))
+            reply.set_exception(ConnectionError("the peer cannot be reached"))
         self._node.entry.on_lost(call, reached=reached)
 
     def on_accepted_frame(self, channel: Channel, frame: frames.Frame) -> None:
@@ -133,7 +133,7 @@
         member = self._node.state.membership.members.get(name)
         if member is None:
             raise errors.GingerturnError(
-                f"node {name!r} is not a known member", step="why", peer=name
+                f"node {name!r} is not known (any more)", step="why", peer=name
             )
         query = frames.Query(call=self._next_query_id(), decision=decision_id)
         address = ids.Address(member.host, member.peers_port)
@@ -214,7 +214,7 @@
                 return await future
         except (TimeoutError, ConnectionError) as error:
             raise errors.GingerturnError(
-                f"no reply: {error}", step="query a peer", peer=str(address)
+                f"no answer: {error}", step="ask a peer", peer=str(address)
             ) from None
         finally:
             self._queries.pop(query.call, None)
--- a/src/gingerturn/internal/shell/log_client.py
+++ b/src/gingerturn/internal/shell/log_client.py
@@ -41,14 +41,14 @@
 class LogClient:
     """Appends to and reads from the log service.
 
-    :param chosen: the settings of the log.
+    :param log_settings: the settings of the log.
     """
 
-    def __init__(self, chosen: settings.Log) -> None:
-        self._poll_ms = chosen.poll_ms
+    def __init__(self, log_settings: settings.Log) -> None:
+        self._poll_ms = log_settings.poll_ms
         self._peer = http_calls.Peer(
-            chosen.url.rstrip("/"),
-            timeout_ms=chosen.timeout_ms,
+            log_settings.url.rstrip("/"),
+            timeout_ms=log_settings.timeout_ms,
             connections=8,
             epoch_header=EPOCH_HEADER,
         )
--- a/src/gingerturn/internal/shell/node.py
+++ b/src/gingerturn/internal/shell/node.py
@@ -80,7 +80,7 @@
     out before the next event is applied, also when an effect causes further events; no
     external event is applied before :class:`events.Started`.
 
-    :param chosen: settings of the node.
+    :param loaded: settings of the node.
     :param record: binary file to which events are recorded, if any.
     :param dialect: header names used with callers and the backend server.
     :param log: the log service; :class:`log_client.LogClient` by default.
@@ -88,20 +88,20 @@
 
     def __init__(
         self,
-        chosen: settings.Settings,
+        loaded: settings.Settings,
         *,
         record: typing.BinaryIO | None = None,
         dialect: dialects.Dialect = dialects.OWN,
         log: log_service.LogService | None = None,
     ) -> None:
-        self.settings = chosen
+        self.settings = loaded
         self.dialect = dialect
         self.written_headers = dialect.written_by_nodes()
-        self.name = chosen.node.id
+        self.name = loaded.node.id
         self.incarnation = int(time.time() * 1000)
         self.secrets = [
             secret.encode()
-            for secret in (chosen.secret.current, chosen.secret.previous)
+            for secret in (loaded.secret.current, loaded.secret.previous)
             if secret
         ]
         self._started = self._started_event()
@@ -116,7 +116,7 @@
         self.links = links.Links(self)
         self.entry = entry.EntrySide(self)
         self.home = home.HomeSide(self)
-        self.log = log_side.LogSide(self, log or log_client.LogClient(chosen.log))
+        self.log = log_side.LogSide(self, log or log_client.LogClient(loaded.log))
         self._recorder = None if record is None else trace.Recorder(record)
         self._publications: dict[str, asyncio.Future[effects.PublishEnded]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
@@ -228,7 +228,7 @@
             peer=announcement.instance,
         )
 
-    def reload(self, chosen: settings.Settings) -> None:
+    def reload(self, reloaded: settings.Settings) -> None:
         """Apply reloaded settings.
 
         Sections that cannot change while the process runs take effect at the next
@@ -237,12 +237,12 @@
         later = [
             part
             for part in _FIXED_PARTS
-            if getattr(chosen, part) != getattr(self.settings, part)
+            if getattr(reloaded, part) != getattr(self.settings, part)
         ]
-        self.settings.retries = chosen.retries
+        self.settings.retries = reloaded.retries
         self.apply(
             events.SettingsChanged(
-                now=clock.now(), retry_bound=_retry_bound(chosen.retries)
+                now=clock.now(), retry_bound=_retry_bound(reloaded.retries)
             )
         )
         text = "Settings read again."
@@ -468,17 +468,17 @@
         self._ticker = loop.call_later(pause, self._tick)
 
 
-def _retry_bound(chosen: settings.Retries) -> allowance.Bound | None:
-    if chosen.slack is None:
+def _retry_bound(retries: settings.Retries) -> allowance.Bound | None:
+    if retries.slack is None:
         return None
-    return allowance.Bound(chosen.slack, chosen.ratio, float(chosen.window_ms))
+    return allowance.Bound(retries.slack, retries.ratio, float(retries.window_ms))
 
 
-def _cap_tolerance(chosen: settings.Workspaces) -> tolerance.Tolerance:
+def _cap_tolerance(workspaces: settings.Workspaces) -> tolerance.Tolerance:
     return tolerance.Tolerance(
-        window_ms=float(chosen.cap_window_ms),
-        over=chosen.cap_over,
-        slack=chosen.cap_slack,
+        window_ms=float(workspaces.cap_window_ms),
+        over=workspaces.cap_over,
+        slack=workspaces.cap_slack,
     )
 
 
