--- a/tests/nocover/test_deadly_requests_for_real.py
+++ b/tests/nocover/test_deadly_requests_for_real.py
@@ -72,7 +72,7 @@
     other = command_line._run(
         "quarantine", "clear", "0" * 12, "--author", "me", "--admin", entry.admin
     )
-    assert (other.returncode, "not in quarantine" in other.stderr) == (4, True)
+    assert (other.returncode, "not kept out" in other.stderr) == (4, True)
     cleared = command_line._run(
         "quarantine", "clear", request, "--author", "me", "--admin", entry.admin
     )
