--- a/tests/cover/test_greeting.py
+++ b/tests/cover/test_greeting.py
@@ -62,7 +62,7 @@
     assert not transport.closed
 
 
-def test_a_stranger_is_cut_off_before_it_fills_memory() -> None:
+def test_an_unproven_peer_is_disconnected_at_the_byte_limit() -> None:
     _, accepted, transport = _accepted()
     accepted.data_received((1 << 19).to_bytes(4, "big") + b"x" * 4_000)
     assert not transport.closed
