--- a/src/gingerturn/__init__.py
+++ b/src/gingerturn/__init__.py
@@ -1,10 +1,9 @@
 """Gingerturn: overload control for deep service call graphs.
 
-The public package is small: :mod:`gingerturn.configuration` (what operators
-declare), :mod:`gingerturn.settings` (what one node is told at its start),
-:mod:`gingerturn.client` (a caller that uses keys well) and
-:mod:`gingerturn.errors`. All else lives in :mod:`gingerturn.internal` and may
-change in any release.
+The public API consists of :mod:`gingerturn.configuration` (services and kinds of
+requests), :mod:`gingerturn.settings` (the settings file of one node),
+:mod:`gingerturn.client` (a client that uses idempotency keys) and
+:mod:`gingerturn.errors`. :mod:`gingerturn.internal` may change in any release.
 """
 
 __version__ = "0.1.0"
--- a/src/gingerturn/announcements.py
+++ b/src/gingerturn/announcements.py
@@ -1,4 +1,4 @@
-"""What a backend server tells the node beside it."""
+"""Announcements that a backend server sends to the node beside it."""
 
 import msgspec
 
@@ -12,18 +12,19 @@
 class Announcement(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """The backend server announces or renews itself, or says that it leaves.
-
-    :param slots: requests that it works on at once.
-    :param connections: connections that it accepts; 0 when it does not say.
-    :param instance: id of this start of it; empty when it tells none.
-    :param sequence: grows with each announcement of one instance, so that a late
-        one is told; 0 when it tells none.
-    :param started_ms: Unix time of this start, which tells it from an earlier one of
-        the same id; 0 when it tells none.
-    :param cold: it has just started and is slow for some time.
-    :param load: requests that it holds; -1 when it does not say.
-    :param ttl_ms: time after which it counts as gone unless renewed.
+    """A registration, renewal or withdrawal of the backend server.
+
+    :param slots: requests that it serves concurrently.
+    :param connections: connections that it accepts; 0 if not reported.
+    :param instance: id of the instance; empty if not reported.
+    :param sequence: increases with each announcement of an instance, so that late
+        ones are recognised; 0 if not reported.
+    :param started_ms: Unix time at which the instance started, which distinguishes
+        it from an earlier one with the same id; 0 if not reported.
+    :param cold: it started recently and is still slow.
+    :param load: requests in progress; -1 if not reported.
+    :param ttl_ms: time after which the registration expires unless renewed.
+    :param leaving: it accepts no more requests.
     """
 
     service: str
@@ -41,9 +42,9 @@
 
 
 def check_announcement(announcement: Announcement) -> Announcement:
-    """Return an announcement whose values are all allowed.
+    """Return the announcement if all of its values are allowed.
 
-    :raises InvalidArgument: naming field, value and what is allowed.
+    :raises InvalidArgument: naming the field, its value and what is allowed.
     """
     checks.check_name("service", announcement.service)
     checks.check_ip("host", announcement.host)
--- a/src/gingerturn/cli/main.py
+++ b/src/gingerturn/cli/main.py
@@ -38,9 +38,9 @@
 def cli() -> None:
     """Overload control for deep service call graphs.
 
-    Exit status: 0 done; 2 wrong usage or an invalid file; 3 a stop that cut calls;
-    4 refused; 5 the outcome is not known; 6 the node cannot be reached; 7 a node did
-    not start, since an address is taken.
+    Exit status: 0 success; 2 wrong usage or an invalid file; 3 calls in flight were cut
+    at shutdown; 4 refused; 5 outcome unknown; 6 the node cannot be reached; 7 a node
+    did not start because an address is in use.
     """
 
 
@@ -59,20 +59,20 @@
 )
 def node(path: pathlib.Path, record: typing.BinaryIO | None) -> None:
     """Run a node beside a backend server."""
-    # Until the node handles it, the signal would end the process.
+    # SIGHUP would terminate the process until the node installs its handler.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    # Imported here, so that the other commands do not load the daemon's libraries.
+    # Imported lazily: the other commands do not need these libraries.
     import uvloop
 
     from gingerturn.internal import logs
     from gingerturn.internal.shell import daemon, node as nodes
 
     source = daemon.Source(path, settings.load)
-    chosen = source.load()
-    logs.set_up(chosen.logging, node=chosen.node.id)
+    loaded = source.load()
+    logs.set_up(loaded.logging, node=loaded.node.id)
 
     async def run() -> int:
-        return await daemon.run(nodes.Node(chosen, record=record), source)
+        return await daemon.run(nodes.Node(loaded, record=record), source)
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         sys.exit(runner.run(run()))
@@ -109,7 +109,7 @@
 )
 @_JSON
 def check(files: tuple[pathlib.Path, ...], as_json: bool) -> None:
-    """Check documents, each alone and all together."""
+    """Validate documents, each alone and all together."""
     documents = {str(path): _read(path) for path in files}
     checked = configuration.Configuration(documents)
     if as_json:
@@ -130,7 +130,7 @@
 @_ADMIN
 @_JSON
 def diff(team: str, file: pathlib.Path, admin: str, as_json: bool) -> None:
-    """Compare a file with the team's document in force."""
+    """Compare a file with the document of the team in force."""
     view = _get(admin, "/config")
     current = view["documents"].get(team, "")
     changed = view["changed"].get(team, 0)
@@ -153,11 +153,13 @@
 @config.command()
 @click.argument("team")
 @click.argument("file", type=click.Path(path_type=pathlib.Path))
-@click.option("--author", required=True, help="Who publishes, for the audit trail.")
+@click.option(
+    "--author", required=True, help="Author of the change, for the audit trail."
+)
 @click.option(
     "--base",
     type=int,
-    help="Revision at which you saw the document last change; default: the present.",
+    help="Revision of the document that the change is based on; default: the current.",
 )
 @click.option("--token", envvar="GINGERTURN_TOKEN", default="", help="Team's token.")
 @_ADMIN
@@ -171,7 +173,7 @@
     admin: str,
     as_json: bool,
 ) -> None:
-    """Publish a team's document, as a whole."""
+    """Publish the document of a team, which replaces the present one."""
     text = _read(file)
     configuration.parse(text, str(file))
     if base is None:
@@ -184,8 +186,8 @@
     elif result["accepted"]:
         click.echo(f"Accepted as revision {result['revision']}.")
     else:
-        word = "Refused" if result["accepted"] is False else "Not known"
-        click.echo(f"{word}: {result['problem']}", err=True)
+        outcome = "Refused" if result["accepted"] is False else "Outcome unknown"
+        click.echo(f"{outcome}: {result['problem']}", err=True)
     if result["accepted"] is None:
         sys.exit(EXIT_UNKNOWN)
     if not result["accepted"]:
@@ -212,7 +214,7 @@
 @_ADMIN
 @_JSON
 def history(admin: str, as_json: bool) -> None:
-    """Show the publications that the node saw decided."""
+    """Show the publications whose outcome the node knows."""
     _echo_trail(_get(admin, "/config/history"), as_json)
 
 
@@ -223,17 +225,17 @@
     "logs",
     multiple=True,
     type=click.File("rb"),
-    help="Search this log file of a node instead of asking one; may be repeated.",
+    help="Search this log file instead of querying a node; may be repeated.",
 )
 @_ADMIN
 @_JSON
 def why(
     decision_id: str, logs: tuple[typing.BinaryIO, ...], admin: str, as_json: bool
 ) -> None:
-    """Tell why a decision was made; any node can be asked.
+    """Explain a decision; any node can be queried.
 
-    With --log: tell from logs why a request ended as it did, by the id of the request
-    or of a decision.
+    With --log: explain the outcome of a request from log files, by the id of the
+    request or of a decision.
     """
     if logs:
         _explain(decision_id, logs, as_json)
@@ -257,37 +259,39 @@
 @_ADMIN
 @_JSON
 def audit(team: str, admin: str, as_json: bool) -> None:
-    """Show the trail of changes."""
+    """Show the audit trail."""
     _echo_trail(_get(admin, "/audit", params={"team": team}), as_json)
 
 
 @cli.group()
 def quarantine() -> None:
-    """Requests that end backend servers, and are kept out."""
+    """Requests in quarantine because backend servers crashed while running them."""
 
 
 @quarantine.command("show")
 @_ADMIN
 @_JSON
 def show_quarantine(admin: str, as_json: bool) -> None:
-    """Show the requests that a node keeps out."""
+    """Show the requests that a node has in quarantine."""
     found = _get(admin, "/quarantine")
     if as_json:
         _echo_json(found)
         return
     for row in found:
         click.echo(
-            f"{row['request']}: {row['ends']} backend servers ended, the last"
-            f" {row['last_end_s']:.0f} s ago; tried again in {row['trial_in_s']:.0f} s"
+            f"{row['request']}: {row['ends']} backend servers crashed, the last"
+            f" {row['last_end_s']:.0f} s ago; next trial in {row['trial_in_s']:.0f} s"
         )
 
 
 @quarantine.command("clear")
 @click.argument("request")
-@click.option("--author", required=True, help="Who does it, for the audit trail.")
+@click.option(
+    "--author", required=True, help="Author of the change, for the audit trail."
+)
 @_ADMIN
 def clear_quarantine(request: str, author: str, admin: str) -> None:
-    """Let a request that is kept out run again, at all nodes."""
+    """Release a request from quarantine, at all nodes."""
     path = f"/quarantine/{request}"
     _send("DELETE", admin.rstrip("/") + path, params={"author": author})
     click.echo(f"{request} may run again")
@@ -299,14 +303,14 @@
     "sources",
     multiple=True,
     metavar="URL|FILE",
-    help="Read this metrics address, or a page saved from it; may be repeated.",
+    help="Read this metrics address or saved metrics page; may be repeated.",
 )
 @_ADMIN
 @_JSON
 def status(sources: tuple[str, ...], admin: str, as_json: bool) -> None:
     """Show a node, its backend server and the members that it knows.
 
-    With --metrics: what the metrics of nodes say, where they serve no administration
+    With --metrics: show a summary of the metrics of nodes that serve no administration
     API.
     """
     if sources:
@@ -340,13 +344,15 @@
     multiple=True,
     required=True,
     metavar="URL|FILE",
-    help="Read this metrics address, or a page saved from it; may be repeated.",
+    help="Read this metrics address or saved metrics page; may be repeated.",
 )
 @_JSON
 def workspaces(sources: tuple[str, ...], as_json: bool) -> None:
-    """Show what workspaces used at some nodes together, and what was refused for their
+    """Show the requests of workspaces at some nodes in total, and those refused by
     caps."""
-    pages = [metrics_text.parse(_page(source), origin=source) for source in sources]
+    pages = [
+        metrics_text.parse(_read_metrics(source), origin=source) for source in sources
+    ]
     found = metrics_text.workspaces(pages)
     if as_json:
         _echo_json(msgspec.to_builtins(found))
@@ -361,26 +367,27 @@
 
 def _show_metrics(sources: tuple[str, ...], as_json: bool) -> None:
     found = {
-        source: metrics_text.parse(_page(source), origin=source) for source in sources
+        source: metrics_text.parse(_read_metrics(source), origin=source)
+        for source in sources
     }
     if as_json:
         _echo_json(msgspec.to_builtins(found))
         return
     for source, metrics in found.items():
         click.echo(source)
-        for line in metrics_text.words(metrics):
+        for line in metrics_text.summary(metrics):
             click.echo(f"  {line}")
 
 
-def _page(source: str) -> str:
-    """Return a metrics page, from a node or from a file."""
+def _read_metrics(source: str) -> str:
+    """Return a metrics page from a URL or a file."""
     if not source.startswith(("http://", "https://")):
         return _read(pathlib.Path(source))
     return _send("GET", source).text
 
 
 def main() -> None:
-    """Run the command; errors are one line that says what to do."""
+    """Run the command; errors are printed as one line."""
     try:
         cli()
     except errors.GingerturnError as error:
@@ -413,8 +420,8 @@
     hint: str = "is the node running?",
     **options: typing.Any,
 ) -> "httpx.Response":
-    """Send a request, and end the command with a line if that fails."""
-    # Imported here: it takes 9 MB, and `gingerturn node` has no use for it.
+    """Send a request; exit with a message if it fails."""
+    # Imported lazily: it takes 9 MB, and `gingerturn node` does not need it.
     import httpx
 
     try:
@@ -434,11 +441,11 @@
 
 
 def _explain(wanted: str, logs: tuple[typing.BinaryIO, ...], as_json: bool) -> None:
-    story = explain.explain(explain.read(logs), wanted)
+    explanation = explain.explain(explain.read(logs), wanted)
     if as_json:
-        _echo_json(story)
+        _echo_json(explanation)
         return
-    for line in story.lines:
+    for line in explanation.lines:
         figures = ", ".join(f"{name} {value:g}" for name, value in line.figures.items())
         status = f" status {line.status}" if line.status else ""
         click.echo(
@@ -446,17 +453,17 @@
             f" after {line.waited_ms:g} ms, version {line.version}"
             + (f" ({figures})" if figures else "")
         )
-    if story.end is None:
-        click.echo("No line tells how it ended.")
-    elif story.cause is None:
-        click.echo(f"It was answered with {story.end.status}.")
-    if story.cause is not None:
-        cause = story.cause
+    if explanation.end is None:
+        click.echo("No line has its outcome.")
+    elif explanation.cause is None:
+        click.echo(f"Response status {explanation.end.status}.")
+    if explanation.cause is not None:
+        cause = explanation.cause
         click.echo(f"Cause: {cause.text} At {cause.node}, for {cause.request}.")
 
 
 def _echo_trail(rows: typing.Any, as_json: bool) -> None:
-    """Print entries of the trail of changes, one a line."""
+    """Print entries of the audit trail, one a line."""
     if as_json:
         _echo_json(rows)
         return
--- a/src/gingerturn/configuration.py
+++ b/src/gingerturn/configuration.py
@@ -1,7 +1,7 @@
-"""What operators declare: services, kinds of requests and their importance.
+"""The configuration: services, kinds of requests and their importance.
 
-A *document* is one team's TOML file. The accepted set of documents is one
-*revision* of the configuration and is always applied as a whole. Example::
+A *document* is the TOML file of one team. The accepted documents together form a
+*revision* of the configuration, which is applied atomically. Example::
 
     [[importance]]
     name = "lookup"
@@ -37,46 +37,44 @@
 from gingerturn.internal import checks, ids, toml_lines
 
 IMPORTANCE_CLASSES = 8
-"""Classes of importance that the rank has room for (three bits)."""
+"""Number of importance classes; a rank has three bits for them."""
 
 MAX_RETRY_ALLOWANCE = 16
-"""More extra attempts than this for one whole request is a retry storm by
-declaration, whatever the graph."""
+"""Upper limit of extra attempts for a root call, against retry storms."""
 
 MAX_TIMEOUT_MS = 600_000
 DEFAULT_TIMEOUT_MS = 30_000
 DEFAULT_RETRY_SHARE = 0.1
-"""Retries for each first attempt: the usual 10 % of client-side throttling, so
-that retries add at most a tenth to the load whatever fails."""
+"""Retries for each first attempt, so that retries add at most 10 % to the load."""
 
-PARSED_KEPT = 512
-"""Parsed documents kept. A new revision changes one document of 110 at the design
-size; parsing all of them anew stopped a node for 59 ms at each change."""
+PARSE_CACHE_SIZE = 512
+"""Parsed documents that are cached, since a new revision changes only one of them and
+parsing all of them blocks the event loop."""
 
 SAFE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
-"""Methods that RFC 9110 calls safe; only these repeat when no kind matches."""
+"""Safe methods of RFC 9110; only these are retried if no kind matches."""
 
 
 class KeyRule(enum.Enum):
-    """What happens to an unrepeatable root call without ``Idempotency-Key``."""
+    """Treatment of an unrepeatable root call without ``Idempotency-Key``."""
 
     REQUIRED = "required"
     GENERATED = "generated"
 
 
 class Importance(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A class of importance; it goes before each class named in ``above``."""
+    """An importance class; it takes precedence over those named in ``above``."""
 
     name: str
     above: list[str] = []
 
 
 class Service(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A service and the limits of all its upstreams.
+    """A service and the limits that apply to its upstreams.
 
-    :param slots: bound on the concurrency at one upstream; the smaller of this
-        and what the backend server announces counts. 0 means as announced.
-    :param retry_share: retries that each first attempt adds to the bucket.
+    :param slots: concurrency limit of one upstream; the smaller of this and the
+        announced slots applies. ``None`` means as announced.
+    :param retry_share: retries that each first attempt adds to the retry budget.
     :param eject_share: share of upstreams that may be ejected as outliers.
     """
 
@@ -87,10 +85,10 @@
 
 
 class Kind(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A kind of request: how it is recognised and what is promised for it.
+    """A kind of request: how it is matched and how it is treated.
 
-    :param retry_allowance: extra attempts for the whole tree below one root.
-    :param timeout_ms: deadline of a root call whose caller names none.
+    :param retry_allowance: extra attempts for all calls below one root.
+    :param timeout_ms: timeout of a root call without a deadline.
     """
 
     name: str
@@ -105,7 +103,7 @@
 
 
 class Document(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One team's file."""
+    """The file of one team."""
 
     importance: list[Importance] = []
     service: list[Service] = []
@@ -113,9 +111,9 @@
 
 
 class KindRule(msgspec.Struct, frozen=True):
-    """A kind ready for use by the core, its importance resolved to a class.
+    """A kind with its importance resolved to a class.
 
-    :param target_ms: time within which an answer has its full worth; 0 if not known.
+    :param target_ms: target latency; 0 if unknown.
     """
 
     name: ids.KindName
@@ -131,15 +129,15 @@
 
 
 class Configuration:
-    """The accepted set of documents, checked and indexed.
+    """A set of documents, validated and indexed.
 
-    :param documents: the TOML text of each team's document.
+    :param documents: TOML text by team.
     """
 
     def __init__(self, documents: dict[str, str]) -> None:
         self.documents = dict(documents)
         parsed = {team: parse(text, team) for team, text in documents.items()}
-        _check_together(parsed, documents)
+        _check_across_documents(parsed, documents)
         self._services = {
             service.name: service
             for document in parsed.values()
@@ -153,7 +151,7 @@
 
     @functools.cached_property
     def digest(self) -> str:
-        """Digest of the whole set, equal exactly when every text is equal."""
+        """Digest of all documents; equal if and only if all texts are equal."""
         return digest_of(self.documents)
 
     @property
@@ -162,14 +160,14 @@
         return sorted(self._services)
 
     def service(self, name: str) -> Service:
-        """Return a declared service, or the defaults for one that is not."""
+        """Return a service, with default values if it is not declared."""
         return self._services.get(name) or Service(name=name)
 
     def classify(self, service: str, method: str, path: str) -> KindRule:
         """Return the rule of the longest matching prefix.
 
-        A call that no kind matches gets the lowest class, no retries, and
-        repeats only where RFC 9110 calls its method safe.
+        A call without a matching kind gets the lowest class and no retry allowance;
+        it is repeatable only if its method is safe by RFC 9110.
         """
         for rule in self._kinds.get(service, ()):
             if not path.startswith(rule.path_prefix):
@@ -180,25 +178,24 @@
         return _DEFAULT_SAFE if method in SAFE_METHODS else _DEFAULT_UNSAFE
 
     def kinds(self) -> list[KindRule]:
-        """Return every declared kind."""
+        """Return the rules of all declared kinds."""
         return [rule for rules in self._kinds.values() for rule in rules]
 
 
 def digest_of(documents: dict[str, str]) -> str:
-    """Return the digest of a set of documents."""
+    """Return the digest of documents, given by team."""
     content = msgspec.json.encode(sorted(documents.items()))
     return hashlib.blake2b(content, digest_size=16).hexdigest()
 
 
-@functools.lru_cache(maxsize=PARSED_KEPT)
+@functools.lru_cache(maxsize=PARSE_CACHE_SIZE)
 def parse(text: str, origin: str) -> Document:
-    """Parse and check one document; the result is shared and must not be changed.
+    """Parse and validate a document; the result is cached and must not be modified.
 
-    :param text: the TOML text.
-    :param origin: the file's name, for errors.
-    :raises InvalidDocument: with every problem found, each with its line.
+    :param origin: file name, for errors.
+    :raises InvalidDocument: with all problems found, each with its line.
     """
-    # Imported here, as in :func:`.settings.load`.
+    # Imported lazily, as in :func:`.settings.load`.
     import tomllib
 
     try:
@@ -208,7 +205,7 @@
     try:
         document = msgspec.convert(table, Document)
     except msgspec.ValidationError as error:
-        raise _invalid([_located(text, origin, str(error))], origin) from None
+        raise _invalid([_with_line(text, origin, str(error))], origin) from None
     problems = _document_problems(document, text, origin)
     if problems:
         raise _invalid(problems, origin)
@@ -219,11 +216,11 @@
     return errors.InvalidDocument(problems, step="check configuration", peer=origin)
 
 
-def _located(text: str, origin: str, message: str) -> str:
+def _with_line(text: str, origin: str, message: str) -> str:
     path = re.search(r"at `([^`]*)`", message)
     line = toml_lines.line_of(text, path.group(1)) if path else 1
     if unknown := re.search(r"unknown field `([^`]*)`", message):
-        # msgspec names the table only; the key itself is what the author seeks.
+        # msgspec reports the path of the table only, without the unknown key.
         base = path.group(1) if path else "$"
         line = toml_lines.line_of(text, f"{base}.{unknown.group(1)}")
     return f"{origin}:{line}: {message}"
@@ -288,8 +285,8 @@
     checks.check_range("retry_allowance", kind.retry_allowance, 0, MAX_RETRY_ALLOWANCE)
 
 
-class _Place(typing.NamedTuple):
-    """Where something is declared; its line is only looked up for an error."""
+class _Location(typing.NamedTuple):
+    """Location of a declaration; its line is computed only for error messages."""
 
     team: str
     path: str
@@ -299,48 +296,48 @@
         return f"{self.team}:{toml_lines.line_of(self.text, self.path)}"
 
 
-def _check_together(parsed: dict[str, Document], texts: dict[str, str]) -> None:
-    """Check what no document can tell alone: names across teams."""
+def _check_across_documents(parsed: dict[str, Document], texts: dict[str, str]) -> None:
+    """Check that names are unique and references resolve across all documents."""
     problems: list[str] = []
     classes = {i.name for d in parsed.values() for i in d.importance}
     services = {s.name for d in parsed.values() for s in d.service}
-    seen: dict[str, _Place] = {}
+    seen: dict[str, _Location] = {}
     for team, document in parsed.items():
         text = texts[team]
         for index, importance in enumerate(document.importance):
-            place = _Place(team, f"$.importance[{index}].name", text)
-            _note_twice(seen, f"importance {importance.name}", place, problems)
+            location = _Location(team, f"$.importance[{index}].name", text)
+            _check_unique(seen, f"importance {importance.name}", location, problems)
             for lower in importance.above:
-                _check_known("above", lower, classes, place, problems)
+                _check_known("above", lower, classes, location, problems)
         for index, service in enumerate(document.service):
-            place = _Place(team, f"$.service[{index}].name", text)
-            _note_twice(seen, f"service {service.name}", place, problems)
+            location = _Location(team, f"$.service[{index}].name", text)
+            _check_unique(seen, f"service {service.name}", location, problems)
         for index, kind in enumerate(document.kind):
-            place = _Place(team, f"$.kind[{index}].name", text)
-            _note_twice(seen, f"kind {kind.name}", place, problems)
-            _check_known("service", kind.service, services, place, problems)
-            _check_known("importance", kind.importance, classes, place, problems)
+            location = _Location(team, f"$.kind[{index}].name", text)
+            _check_unique(seen, f"kind {kind.name}", location, problems)
+            _check_known("service", kind.service, services, location, problems)
+            _check_known("importance", kind.importance, classes, location, problems)
     if problems:
         raise _invalid(problems, ", ".join(sorted(parsed)))
 
 
 def _check_known(
-    field: str, name: str, known: set[str], place: _Place, problems: list[str]
+    field: str, name: str, known: set[str], location: _Location, problems: list[str]
 ) -> None:
     if name not in known:
-        problems.append(f"{place}: {field} is {name!r}; allowed are {sorted(known)}")
+        problems.append(f"{location}: {field} is {name!r}; allowed are {sorted(known)}")
 
 
-def _note_twice(
-    seen: dict[str, _Place], item: str, place: _Place, problems: list[str]
+def _check_unique(
+    seen: dict[str, _Location], item: str, location: _Location, problems: list[str]
 ) -> None:
     if item in seen:
-        problems.append(f"{place}: {item} is declared already at {seen[item]}")
-    seen.setdefault(item, place)
+        problems.append(f"{location}: {item} is declared already at {seen[item]}")
+    seen.setdefault(item, location)
 
 
 def _importance_classes(parsed: dict[str, Document]) -> dict[str, int]:
-    """Resolve ``above`` to classes: one more than the highest class below."""
+    """Resolve ``above`` to classes: each is one above the highest in ``above``."""
     below = {i.name: set(i.above) for d in parsed.values() for i in d.importance}
     try:
         order = list(graphlib.TopologicalSorter(below).static_order())
@@ -378,8 +375,8 @@
                 key=kind.key,
             )
             rules.setdefault(kind.service, []).append(rule)
-    for of_service in rules.values():
-        of_service.sort(key=lambda rule: (-len(rule.path_prefix), rule.name))
+    for service_rules in rules.values():
+        service_rules.sort(key=lambda rule: (-len(rule.path_prefix), rule.name))
     return rules
 
 
--- a/src/gingerturn/dialect.py
+++ b/src/gingerturn/dialect.py
@@ -1,7 +1,6 @@
-"""The names of headers on the way between callers, nodes and backend servers.
+"""Names of the headers between callers, nodes and backend servers.
 
-A deployment whose callers and backend servers speak other names passes its own
-:class:`Dialect`; nothing else of a node changes.
+A deployment with other header names passes its own :class:`Dialect`.
 """
 
 import msgspec
@@ -11,23 +10,23 @@
 
 
 class Dialect(msgspec.Struct, frozen=True, kw_only=True):
-    """Header names, in lower case; an empty one is not used.
-
-    :param timeout: from callers: milliseconds that the caller will wait.
-    :param deadline: to backend servers: milliseconds that are left.
-    :param request_id: id of a request, which backend servers repeat in answers, so
-        that an answer to another request is told by it.
-    :param api_key: from callers: the API key, and nothing else; it goes no further.
-    :param workspace: to backend servers: whose API key the request came with.
+    """Header names in lower case; a header with an empty name is not used.
+
+    :param timeout: from callers: timeout of the request in milliseconds.
+    :param deadline: to backend servers: remaining time in milliseconds.
+    :param request_id: id of the request, which backend servers repeat in responses so
+        that a response to another request is detected.
+    :param api_key: from callers: the bare API key; it is not forwarded.
+    :param workspace: to backend servers: workspace of the request's API key.
     :param caller_service: to backend servers: service beside the entry node.
-    :param instance: to backend servers: the start of it that is meant.
-    :param not_executed: from backend servers: present when the request did not run.
+    :param instance: to backend servers: instance that the request is meant for.
+    :param not_executed: from backend servers: present if the request did not run.
     :param decision: to callers: id of the decision, for ``gingerturn why``.
-    :param trace: pass a W3C ``traceparent`` on, which ties calls to their parents.
-    :param lineage: what a backend server puts between the id of the request that it
-        serves and its own part in the id of a call. A call whose id continues that of
-        a request that runs here belongs to it; any other is a request of its own.
-    :param retry_after_fractions: callers read fractions of seconds in Retry-After.
+    :param trace: forward a W3C ``traceparent``, which links calls to their parents.
+    :param lineage: separator between the id of a request and the suffix that a
+        backend server adds for a call of its own. A call whose id extends that of a
+        request in progress here is its child; any other is a new root.
+    :param retry_after_fractions: Retry-After may have fractions of a second.
     """
 
     timeout: bytes = b"gingerturn-timeout-ms"
@@ -44,7 +43,7 @@
     retry_after_fractions: bool = False
 
     def written_by_nodes(self) -> frozenset[bytes]:
-        """Return the headers that nodes write anew; a sender's own are dropped."""
+        """Return the headers that nodes set; those of a sender are dropped."""
         names = {self.timeout, self.deadline, self.caller_service, self.instance}
         names |= {self.api_key, self.workspace}
         if self.trace:
@@ -52,5 +51,5 @@
         return frozenset(name for name in names if name)
 
 
-OWN = Dialect()
-"""What gingerturn speaks by itself."""
+DEFAULT = Dialect()
+"""Header names of deployments without a dialect of their own."""
--- a/src/gingerturn/errors.py
+++ b/src/gingerturn/errors.py
@@ -1,16 +1,16 @@
-"""Every error that gingerturn raises on purpose.
+"""Errors that gingerturn raises.
 
-An error carries the step at which it arose and the peer it concerns, so that a
-log line or a command's message can name both without parsing text.
+An error carries the step that failed and the peer concerned, so that log lines and
+commands can name both without parsing text.
 """
 
 
 class GingerturnError(Exception):
-    """Base of all errors raised on purpose.
+    """Base class of all errors of gingerturn.
 
-    :param message: what was wrong and what to do, one sentence.
-    :param step: the step at which the error arose, such as ``read settings``.
-    :param peer: the file, node or address concerned; empty when there is none.
+    :param message: the problem and its remedy, in one sentence.
+    :param step: the step that failed, such as ``read settings``.
+    :param peer: the file, node or address concerned; empty if there is none.
     """
 
     def __init__(self, message: str, *, step: str = "", peer: str = "") -> None:
@@ -27,13 +27,13 @@
 
 
 class InvalidArgument(GingerturnError):
-    """An argument at a public boundary has a value that is not allowed."""
+    """An argument of the public API has a value that is not allowed."""
 
 
 class InvalidDocument(InvalidArgument):
-    """A settings or configuration file, or another message, is refused as a whole.
+    """A settings file, a configuration document or a message is invalid.
 
-    :param problems: every problem found, each with its file and line.
+    :param problems: all problems found, each with its file and line.
     """
 
     def __init__(self, problems: list[str], *, step: str, peer: str) -> None:
@@ -42,7 +42,7 @@
 
 
 class FrameError(GingerturnError):
-    """Bytes from a peer are not a frame of the protocol between nodes."""
+    """Bytes from a peer are not a valid frame."""
 
 
 class AuthenticationError(GingerturnError):
@@ -50,11 +50,11 @@
 
 
 class LogServiceError(GingerturnError):
-    """The log service did not do what was asked.
+    """A request to the log service failed.
 
-    :param took_effect: ``False`` only when it is certain that nothing was
-        appended; ``None`` when that cannot be known.
-    :param epoch: the log's epoch that the refusal told; 0 where there was none.
+    :param took_effect: ``False`` only if it is certain that nothing was appended;
+        ``None`` if unknown.
+    :param epoch: log epoch in the response; 0 if there was none.
     """
 
     def __init__(
@@ -72,4 +72,4 @@
 
 
 class PublishRefused(GingerturnError):
-    """A publication was refused: a conflict, a bad document, or no permission."""
+    """A publication was refused: conflict, invalid document or missing permission."""
--- a/src/gingerturn/explain.py
+++ b/src/gingerturn/explain.py
@@ -1,8 +1,7 @@
-"""Why a request ended as it did, from the lines that nodes wrote to their logs.
+"""Explains the outcome of a request from the logs of nodes.
 
-A request is followed from the entry node that its caller asked to the home node that
-decided, and from there into the calls that were made for it: where a backend server
-answered with a failure since a call of its own failed, the cause lies there.
+A request is traced from its entry node to its home node and to its child calls: if a
+backend server failed because a call of its own failed, that call is the cause.
 """
 
 import collections.abc
@@ -16,17 +15,17 @@
 ENTRY = "entry"
 HOME = "home"
 RELAYED = "sent"
-"""Rule of the line by which an entry node passes an answer on."""
+"""Rule of the line for a response that the entry node forwarded to the caller."""
 
 
 class Line(msgspec.Struct, frozen=True):
-    """One line about a request.
+    """A log line about a request.
 
-    :param request: id of the request; a call's id continues that of its request.
-    :param upstream: at an entry node the one that it was sent to, at a home the entry.
-    :param status: status of the answer to the caller; 0 while there is none.
-    :param version: version of the routes in force at that node.
-    :param waited_ms: age of the request at that node.
+    :param request: id of the request; that of a child call extends that of its parent.
+    :param upstream: at an entry node the home node, at a home node the entry node.
+    :param status: status of the response to the caller; 0 if there is none yet.
+    :param version: version of the route table in force at the node.
+    :param waited_ms: time since the node received the request.
     """
 
     time: str
@@ -45,12 +44,12 @@
     decision: str = ""
 
 
-class Story(msgspec.Struct, frozen=True):
-    """What the lines tell of one request and of the calls made for it.
+class Explanation(msgspec.Struct, frozen=True):
+    """The log lines of a request and its child calls, with the cause of its outcome.
 
     :param lines: in order of time.
-    :param end: the line that ended the request, if there is one.
-    :param cause: the line that tells why, if there is one.
+    :param end: the line of the response to the caller, if found.
+    :param cause: the line of the decision that caused a failure, if found.
     """
 
     request: str
@@ -60,10 +59,10 @@
 
 
 def read(sources: collections.abc.Iterable[typing.BinaryIO]) -> list[Line]:
-    """Return the lines about requests in some log files, in order of time.
+    """Return the lines about requests in log files, in order of time.
 
-    Other output of a process may stand between them and is passed over, and so is a
-    line that was cut off. What a collector of logs put before a line is left out.
+    Other output and truncated lines are skipped, and so are prefixes that a log
+    collector added.
     """
     found: list[Line] = []
     for source in sources:
@@ -77,26 +76,26 @@
     return sorted(found, key=lambda line: line.time)
 
 
-def explain(lines: list[Line], wanted: str) -> Story:
-    """Return the story of a request.
+def explain(lines: list[Line], wanted: str) -> Explanation:
+    """Explain the outcome of a request.
 
-    :param wanted: id of the request, or of a decision that its caller was told.
-    :raises InvalidArgument: when no line names it.
+    :param wanted: id of the request, or the decision id in its response.
+    :raises InvalidArgument: if no line has this id.
     """
     named = {line.request for line in lines if wanted in {line.request, line.decision}}
     request = min(named, key=len, default=wanted)
     own = tuple(line for line in lines if _is_part(line.request, request))
     if not own:
         raise errors.InvalidArgument(
-            f"{wanted!r} is in no line: the logs begin later, end sooner, or left it"
-            " out; a request that failed is left out last",
+            f"{wanted!r} is in no line: the logs begin later, end sooner, or the line"
+            " was dropped; lines of failed requests are dropped last",
             step="search logs",
         )
-    return Story(request, own, _end_of(own, request), _cause(own, request))
+    return Explanation(request, own, _end_of(own, request), _cause(own, request))
 
 
 def _is_part(request: str, whole: str) -> bool:
-    """Tell whether an id is that of a request or continues it."""
+    """Whether an id is that of a request or of one of its descendants."""
     rest = request[len(whole) :]
     return request.startswith(whole) and not rest[:1].isalnum()
 
@@ -125,12 +124,12 @@
 
 
 def _is_refusal(line: Line, end: Line | None) -> bool:
-    """Tell whether a home's line is about the refusal that ended the request."""
+    """Whether a line of the home node has the rule of the final response."""
     return end is None or line.rule == end.rule
 
 
 def _cause_below(lines: tuple[Line, ...], request: str) -> Line | None:
-    """Return the cause of the last call that failed of those made for a request."""
+    """Return the cause of the last failed child call of a request."""
     failed = [
         line
         for line in lines
@@ -144,12 +143,12 @@
 
 
 def _is_direct(call: str, request: str, lines: tuple[Line, ...]) -> bool:
-    """Tell whether no other request stands between a call and a request."""
-    between = {
+    """Whether a call is a child of a request and not a deeper descendant."""
+    intermediate = {
         line.request
         for line in lines
         if line.request not in {call, request}
         and _is_part(call, line.request)
         and _is_part(line.request, request)
     }
-    return not between
+    return not intermediate
--- a/src/gingerturn/internal/checks.py
+++ b/src/gingerturn/internal/checks.py
@@ -1,6 +1,6 @@
-"""Small checks of arguments at the public boundary.
+"""Validation of arguments and external input.
 
-Each returns its value or raises an error that names the field, what was passed
+Each function returns a valid value or raises an error that names the field, the value
 and what is allowed.
 """
 
@@ -16,7 +16,7 @@
 _T = typing.TypeVar("_T")
 
 NAME_PATTERN = re.compile(r"[a-z0-9][a-z0-9._-]{0,62}\Z")
-"""Names stand in Host headers and in log streams, hence the narrow alphabet."""
+"""Names are used in Host headers and in names of log streams."""
 
 
 def check_name(field: str, value: str) -> str:
@@ -30,7 +30,7 @@
 
 
 def check_range(field: str, value: float, low: float, high: float) -> float:
-    """Check that a number lies within ``low`` and ``high``, both included."""
+    """Check that a number is between ``low`` and ``high``, both included."""
     if not low <= value <= high:
         raise errors.InvalidArgument(
             f"{field} is {value!r}; allowed is {low} to {high}"
@@ -39,7 +39,7 @@
 
 
 def check_ip(field: str, value: str) -> str:
-    """Check an IP number; names are refused since nodes talk by IP numbers."""
+    """Check an IP address; host names are refused since nodes resolve none."""
     try:
         ipaddress.ip_address(value)
     except ValueError:
@@ -58,29 +58,29 @@
 
 
 def port_of(address: str) -> int:
-    """Return the port of ``IP:PORT``; 0 for what is no address."""
+    """Return the port of ``IP:PORT``; 0 if there is none."""
     port = address.rpartition(":")[2]
     return int(port) if port.isascii() and port.isdigit() else 0
 
 
 def decode_json(content: bytes, kind: type[_T], *, step: str, peer: str) -> _T:
-    """Return what JSON from outside says.
+    """Decode external JSON.
 
-    :param step: what is done, such as ``read settings``.
-    :raises InvalidDocument: naming the field that is missing or wrong.
+    :param step: the step for errors, such as ``read settings``.
+    :raises InvalidDocument: naming the field that is missing or invalid.
     """
     try:
         return msgspec.json.decode(content, type=kind)
     except msgspec.MsgspecError as error:
-        what = step.partition(" ")[2]
-        problem = f"no {what}: {error}"
+        content_type = step.partition(" ")[2]
+        problem = f"no {content_type}: {error}"
         raise errors.InvalidDocument([problem], step=step, peer=peer) from None
 
 
-def hexadecimal(field: str, text: str, *, step: str, peer: str) -> int:
-    """Return a number written in hexadecimal digits.
+def parse_hexadecimal(field: str, text: str, *, step: str, peer: str) -> int:
+    """Parse a hexadecimal number.
 
-    :raises InvalidDocument: for anything else.
+    :raises InvalidDocument: if it is none.
     """
     try:
         return int(text, 16)
--- a/src/gingerturn/internal/ids.py
+++ b/src/gingerturn/internal/ids.py
@@ -1,4 +1,4 @@
-"""The typed identifiers and units used through the whole program."""
+"""Types of identifiers and units."""
 
 import typing
 
@@ -9,29 +9,29 @@
 WorkspaceName = typing.NewType("WorkspaceName", str)
 
 CallId = typing.NewType("CallId", int)
-"""A call that a node accepted from a caller; unique within one incarnation."""
+"""A call that an entry node accepted from a caller; unique within an incarnation."""
 
 AttemptId = typing.NewType("AttemptId", int)
-"""One sending of a call to one upstream; unique within one incarnation."""
+"""An attempt of a call at one upstream; unique within an incarnation."""
 
 HostedId = typing.NewType("HostedId", int)
-"""A call that a node holds for its own backend server."""
+"""A call that a home node received for its backend server."""
 
 RootHash = typing.NewType("RootHash", int)
-"""64 bits that are the same at every hop of one whole request."""
+"""64-bit hash of a root call, which is the same at every hop."""
 
 Fingerprint = typing.NewType("Fingerprint", int)
-"""48 bits that are the same whenever a request is sent, under whatever id."""
+"""48-bit hash of the content of a request, which is the same for each of its ids."""
 
 FINGERPRINT_BYTES = 6
-"""Of a thousand fingerprints remembered, 530,000 calls a second meet one by chance once
-in six days."""
+"""With 1,000 fingerprints stored, 530,000 calls a second collide with one of them by
+chance once in six days."""
 
 SpanId = typing.NewType("SpanId", str)
 """The 16 hexadecimal digits of a span in a W3C ``traceparent``."""
 
 Key = typing.NewType("Key", str)
-"""What a caller sends in ``Idempotency-Key``."""
+"""Value of ``Idempotency-Key``."""
 
 ClaimId = typing.NewType("ClaimId", str)
 Incarnation = typing.NewType("Incarnation", int)
@@ -39,28 +39,28 @@
 """Revision of the configuration; 0 is the state before the first one."""
 
 LogEpoch = typing.NewType("LogEpoch", int)
-"""How often the log was restored from a backup, by its own count; 0 where
-it tells none."""
+"""Epoch of the log, which increases when it is restored from a backup; 0 if it reports
+none."""
 
 FIRST_LOG_EPOCH = LogEpoch(1)
-"""That of a log that was never restored from a backup."""
+"""Epoch of a log that was never restored from a backup."""
 
 MAX_LOG_EPOCH = 0xFFFF_FFFF
 
 Rank = typing.NewType("Rank", int)
-"""The place of a call in the shedding order; see :mod:`.core.ranks`."""
+"""The position of a call in the shedding order; see :mod:`.core.ranks`."""
 
 Milliseconds = float
-"""Times and durations: milliseconds, since the Unix epoch for points in time."""
+"""A duration, or a time since the Unix epoch, in milliseconds."""
 
 
 def fingerprint_text(fingerprint: int) -> str:
-    """Return a fingerprint as people read it and as keys hold it."""
+    """Return a fingerprint in hexadecimal, as used in output and in keys of records."""
     return f"{fingerprint:0{2 * FINGERPRINT_BYTES}x}"
 
 
 class Address(typing.NamedTuple):
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     host: str
     port: int
--- a/src/gingerturn/internal/shell/heads.py
+++ b/src/gingerturn/internal/shell/heads.py
@@ -88,7 +88,7 @@
     decision: str,
     close: bool,
     with_body: bool = True,
-    dialect: dialects.Dialect = dialects.OWN,
+    dialect: dialects.Dialect = dialects.DEFAULT,
     request_id: bytes = b"",
 ) -> bytes:
     """Return a whole answer with an RFC 9457 problem body."""
--- a/src/gingerturn/internal/shell/http_calls.py
+++ b/src/gingerturn/internal/shell/http_calls.py
@@ -132,7 +132,7 @@
             if 0 <= epoch <= ids.MAX_LOG_EPOCH:
                 return epoch
             problem = f"{value[:80]!r} is no number from 0 to {ids.MAX_LOG_EPOCH}"
-            logs.pass_over("Header", name, problem)
+            logs.warn_skipped("Header", name, problem)
         return 0
 
     async def close(self) -> None:
--- a/src/gingerturn/internal/shell/node.py
+++ b/src/gingerturn/internal/shell/node.py
@@ -91,7 +91,7 @@
         chosen: settings.Settings,
         *,
         record: typing.BinaryIO | None = None,
-        dialect: dialects.Dialect = dialects.OWN,
+        dialect: dialects.Dialect = dialects.DEFAULT,
         log: log_service.LogService | None = None,
     ) -> None:
         self.settings = chosen
@@ -376,7 +376,7 @@
         now = clock.now()
         if now >= self._report_at:
             self._report_at = now + REPORT_MS
-            self.counters.lines_dropped += logs.report_left_out()
+            self.counters.lines_dropped += logs.report_dropped()
 
     def _check_callers(self) -> None:
         now = clock.now()
--- a/src/gingerturn/internal/toml_lines.py
+++ b/src/gingerturn/internal/toml_lines.py
@@ -1,4 +1,4 @@
-"""Find the line of a value in a TOML text, for errors that name file and line."""
+"""Line numbers of values in TOML texts, for error messages."""
 
 import re
 
@@ -9,10 +9,9 @@
 def line_of(text: str, path: str) -> int:
     """Return the 1-based line of a path such as ``$.kind[2].timeout_ms``.
 
-    The nearest line that exists is returned: the table's header where the key
-    is missing, line 1 where not even the table is found.
+    If the key is missing, return the line of the table's header; if the table is
+    missing, line 1.
 
-    :param text: the TOML text.
     :param path: a path in msgspec's notation.
     """
     steps = [name if name else index for name, index in _STEP.findall(path.lstrip("$"))]
--- a/src/gingerturn/log_service.py
+++ b/src/gingerturn/log_service.py
@@ -1,13 +1,12 @@
-"""What a node asks of the platform's log service.
+"""Interface of the platform's log service.
 
-:class:`.internal.shell.log_client.LogClient` speaks to a service of gingerturn's own
-form; a deployment on another platform passes an object with these methods. Every
-method raises :class:`.errors.LogServiceError` when the service does not do what was
-asked, and decides nothing: when to try again is the node's concern.
+:class:`.internal.shell.log_client.LogClient` implements it for gingerturn's own
+protocol; a deployment on another platform passes another implementation. Methods raise
+:class:`.errors.LogServiceError` if a request fails and do not retry: the node does.
 
-Answers tell the epoch of the log: how often it was restored from a backup, which lacks
-records that it had acknowledged. Offsets of different epochs cannot be compared. A
-service that never loses records tells 0.
+Responses carry the epoch of the log, which increases when the log is restored from a
+backup and so may have lost acknowledged records. Offsets of different epochs are not
+comparable. A service that never loses records has epoch 0.
 """
 
 import typing
@@ -15,23 +14,22 @@
 import msgspec
 
 READ_TIMEOUT_MS = 1_000.0
-"""A read that is not answered within this time, and that for which it waits for news,
-belongs to a log that is silent: the sooner one is begun again, the sooner a node knows
-what the log says when it speaks."""
+"""Timeout of a read beyond the time for which it waits for new records. A short timeout
+detects lost responses early."""
 
 
 class Records(msgspec.Struct, frozen=True):
-    """What a read found.
+    """The result of a read.
 
     :param first: offset of the first record.
-    :param oldest: the oldest offset that the service still holds.
-    :param end: the offset after the newest record.
-    :param contents: records from ``first`` on; empty where a record is of no use to
-        a node, so that offsets stay in step.
-    :param held_ms: how long the service was asked to hold the read open for news.
-    :param missing: the service does not hold the offset that was asked for, and
-        ``first`` and ``end`` are the first one that it holds.
-    :param epoch: of the log that answered.
+    :param oldest: oldest offset that the service retains.
+    :param end: offset after the newest record.
+    :param contents: records from ``first`` on; a record that the node does not use is
+        empty, so that offsets match.
+    :param held_ms: requested duration of the long poll.
+    :param missing: the requested offset is no longer retained, and ``first`` and
+        ``end`` are the first one that is.
+    :param epoch: epoch of the log.
     """
 
     first: int
@@ -44,17 +42,18 @@
 
 
 def missing(first: int, *, epoch: int) -> Records:
-    """Return what a read found whose offset the service does not hold.
+    """Return the result of a read whose offset is no longer retained.
 
-    :param first: the first offset that it holds.
+    :param first: the first offset that is retained.
     """
     return Records(first, first, first, (), missing=True, epoch=epoch)
 
 
 class Newest(msgspec.Struct, frozen=True):
-    """The newest record of each key, and from where to read on.
+    """The result of a base read: the newest record of each key of a stream.
 
-    :param epoch: of the log that answered.
+    :param end: offset from which to continue reading.
+    :param epoch: epoch of the log.
     """
 
     contents: tuple[bytes, ...]
@@ -65,7 +64,7 @@
 class Appended(msgspec.Struct, frozen=True):
     """The acknowledgement of a record.
 
-    :param epoch: of the log that took it.
+    :param epoch: epoch of the log.
     """
 
     offset: int
@@ -75,7 +74,7 @@
 class Entry(msgspec.Struct, frozen=True):
     """One entry of a keyed stream.
 
-    :param problem: why it is of no use; empty where it can be read.
+    :param problem: why it cannot be decoded; empty if it can.
     """
 
     key: bytes
@@ -84,14 +83,15 @@
 
 
 class LogService(typing.Protocol):
-    """An append-only log with streams, offsets and, on some, keys."""
+    """An append-only log of streams with offsets, some of which are keyed."""
 
     async def read(
         self, stream: str, offset: int, *, wait: bool = True, hold_ms: int = 0
     ) -> Records:
-        """Read from an offset, waiting a while for new records if there are none.
+        """Read from an offset, by a long poll if there are no new records.
 
-        :param hold_ms: how long; 0 leaves it to the settings.
+        :param wait: whether to wait for new records.
+        :param hold_ms: duration of the long poll; 0 for that of the settings.
         """
 
     async def append(self, stream: str, record: bytes) -> Appended:
@@ -101,7 +101,7 @@
         """Read the newest record of each key."""
 
     async def put(self, stream: str, key: str, record: bytes) -> Appended:
-        """Append a record under a key; an empty one drops the key."""
+        """Append a record under a key; an empty record deletes the key."""
 
     async def close(self) -> None:
         """Close the connections."""
--- a/src/gingerturn/metrics_text.py
+++ b/src/gingerturn/metrics_text.py
@@ -1,6 +1,4 @@
-"""What a node's metrics say, for ``gingerturn status`` where no node serves an
-administration API.
-"""
+"""Parses the metrics of nodes, for ``gingerturn status`` without administration API."""
 
 import collections.abc
 import re
@@ -14,16 +12,16 @@
     r"(?:\{(?P<label>\w+)=\"(?P<value>(?:[^\"\\]|\\.)*)\"\})?"
     r" (?P<number>\S+)"
 )
-"""One sample of the Prometheus text format, as a node writes it: one label at most."""
+"""A sample of the Prometheus text format with at most one label."""
 
 
 class NodeMetrics(msgspec.Struct):
     """The metrics of one node.
 
-    :param plain: samples without a label, by name.
-    :param refused: requests refused or failed, by rule.
-    :param answer_seconds: time to the answer, by quantile.
-    :param workspaces: by workspace, what is told of it by name of the sample.
+    :param plain: samples without labels, by name.
+    :param refused: refused and failed requests, by rule.
+    :param answer_seconds: response time, by quantile.
+    :param workspaces: samples by name, by workspace.
     """
 
     plain: dict[str, float] = {}
@@ -33,26 +31,26 @@
 
 
 def parse(text: str, *, origin: str) -> NodeMetrics:
-    """Return what a metrics page says; samples of other systems are passed over.
+    """Parse a metrics page, without the samples of other programs.
 
-    :param origin: the address or file, named in errors.
-    :raises InvalidArgument: for a line that is no sample, and for a page without any.
+    :param origin: address or file, for errors.
+    :raises InvalidArgument: for a malformed sample and a page without samples.
     """
     found = NodeMetrics()
     for number, line in enumerate(text.splitlines(), 1):
         if line.startswith("gingerturn_"):
-            _add(found, line, where=f"{origin}:{number}")
+            _add_sample(found, line, where=f"{origin}:{number}")
     if not found.plain:
         raise errors.InvalidArgument(
-            "no metrics of a node; wanted are lines that begin with gingerturn_",
+            "no metrics of a node; expected lines that begin with gingerturn_",
             step="read metrics",
             peer=origin,
         )
     return found
 
 
-def words(found: NodeMetrics) -> list[str]:
-    """Return what the metrics say, a sentence a line."""
+def summary(found: NodeMetrics) -> list[str]:
+    """Return a summary of the metrics, by line."""
     plain = found.plain
     ready = "ready" if plain.get("ready") else "not ready"
     lines = [
@@ -65,15 +63,17 @@
         f" {_count(plain, 'backend_queue')} queued,"
         f" limit {_count(plain, 'backend_limit')},"
         f" level {_count(plain, 'backend_level')}",
-        f"answered {_count(plain, 'answered_total')}" + _times(found),
+        f"answered {_count(plain, 'answered_total')}" + _latencies(found),
     ]
     if found.refused:
-        most = sorted(found.refused.items(), key=lambda item: -item[1])
-        lines.append("refused: " + ", ".join(f"{rule} {n:.0f}" for rule, n in most))
+        descending = sorted(found.refused.items(), key=lambda item: -item[1])
+        lines.append(
+            "refused: " + ", ".join(f"{rule} {n:.0f}" for rule, n in descending)
+        )
     if plain.get("backend_ends_total") or plain.get("requests_kept_out"):
         lines.append(
-            f"backend server ended by itself {_count(plain, 'backend_ends_total')}"
-            f" times, {_count(plain, 'requests_kept_out')} requests kept out"
+            f"backend server crashed {_count(plain, 'backend_ends_total')}"
+            f" times, {_count(plain, 'requests_kept_out')} requests in quarantine"
         )
     if plain.get("log_restores_total"):
         lines.append(
@@ -83,14 +83,14 @@
     if plain.get("keys_closed"):
         lines.append("requests with API keys are refused: keys_stale")
     if plain.get("log_lines_dropped_total"):
-        lines.append(f"{_count(plain, 'log_lines_dropped_total')} log lines left out")
+        lines.append(f"{_count(plain, 'log_lines_dropped_total')} log lines dropped")
     return lines
 
 
 class WorkspaceUse(msgspec.Struct):
-    """Whole requests of a workspace at some nodes since their starts.
+    """Root requests of a workspace at some nodes since these started.
 
-    :param cap: requests a second by all nodes; 0 for any number.
+    :param cap: limit of requests a second at all nodes; 0 if unlimited.
     """
 
     workspace: str
@@ -100,18 +100,18 @@
 
 
 def workspaces(pages: collections.abc.Iterable[NodeMetrics]) -> list[WorkspaceUse]:
-    """Return the use of each workspace over some nodes, most refused first."""
+    """Return the use of each workspace at some nodes, most refused first."""
     found: dict[str, WorkspaceUse] = {}
     for page in pages:
-        for name, told in page.workspaces.items():
+        for name, samples in page.workspaces.items():
             use = found.setdefault(name, WorkspaceUse(name))
-            use.passed += told.get("workspace_passed_total", 0.0)
-            use.refused += told.get("workspace_refused_total", 0.0)
-            use.cap = max(use.cap, told.get("workspace_cap", 0.0))
+            use.passed += samples.get("workspace_passed_total", 0.0)
+            use.refused += samples.get("workspace_refused_total", 0.0)
+            use.cap = max(use.cap, samples.get("workspace_cap", 0.0))
     return sorted(found.values(), key=lambda use: (-use.refused, -use.passed))
 
 
-def _add(found: NodeMetrics, line: str, *, where: str) -> None:
+def _add_sample(found: NodeMetrics, line: str, *, where: str) -> None:
     match = _LINE.fullmatch(line)
     try:
         number = float(match["number"]) if match else None
@@ -119,7 +119,7 @@
         number = None
     if match is None or number is None:
         raise errors.InvalidArgument(
-            f"{line[:80]!r} is no sample; wanted is NAME VALUE",
+            f"{line[:80]!r} is no sample; expected NAME VALUE",
             step="read metrics",
             peer=where,
         )
@@ -139,9 +139,9 @@
     return "?" if value is None else f"{value:.0f}"
 
 
-def _times(found: NodeMetrics) -> str:
-    told = sorted(found.answer_seconds.items())
+def _latencies(found: NodeMetrics) -> str:
+    quantiles = sorted(found.answer_seconds.items())
     return "".join(
         f", p{100 * float(quantile):g} {1000 * seconds:.0f} ms"
-        for quantile, seconds in told
+        for quantile, seconds in quantiles
     )
--- a/src/gingerturn/routes.py
+++ b/src/gingerturn/routes.py
@@ -1,10 +1,9 @@
-"""What operators declare as one whole: routes, with a version that only grows.
+"""Route tables, with a version that only increases.
 
-A :class:`RouteTable` stands beside the teams' documents of
-:mod:`gingerturn.configuration`. Documents name services directly and are merged by
-revision; a route table maps hosts and path prefixes to services and always
-replaces the one before it. Both end as the same :class:`.configuration.KindRule`,
-so the core decides by one model.
+A :class:`RouteTable` is an alternative to the documents of
+:mod:`gingerturn.configuration`. It maps hosts and path prefixes to services and always
+replaces the previous table as a whole. Routes and kinds are both converted to
+:class:`.configuration.KindRule` for the core.
 """
 
 import collections.abc
@@ -17,11 +16,11 @@
 from gingerturn.internal import checks, ids
 
 MAX_PRIORITY = configuration.IMPORTANCE_CLASSES - 1
-"""Priorities from 0 (goes first) to this one have an importance class of their own;
-later ones share the lowest."""
+"""Priorities from 0 (the highest) to this one have an importance class each; all others
+share the lowest class."""
 
 MAX_VERSION = (1 << 63) - 1
-"""Versions travel as numbers of 64 bits."""
+"""Versions are encoded as signed 64-bit integers."""
 
 MAX_WORKSPACE_PRIORITY = 1_000
 MAX_RATE = 1e9
@@ -32,7 +31,7 @@
 
 
 class RouteType(enum.Enum):
-    """What may be repeated on a route."""
+    """Whether requests of a route may be repeated."""
 
     SAFE = "safe"
     UNREPEATABLE = "unrepeatable"
@@ -40,19 +39,19 @@
 
 
 class Share(msgspec.Struct, frozen=True):
-    """One service of a route and its weight among the route's services."""
+    """A service of a route, with its weight among the services of the route."""
 
     service: str
     weight: int = 1
 
 
 class Route(msgspec.Struct, frozen=True):
-    """Requests of one host under one path prefix.
+    """Requests to one host under one path prefix.
 
-    :param timeout_ms: longest time that a request is kept waiting.
-    :param target_ms: time within which an answer has its full worth.
-    :param priority: rank among the routes, 0 goes first.
-    :param max_attempts: upstreams that one request may reach.
+    :param timeout_ms: timeout of a request.
+    :param target_ms: target latency.
+    :param priority: priority among the routes; 0 is the highest.
+    :param max_attempts: attempts of one request, the first included.
     :param public: requests need no API key.
     """
 
@@ -69,14 +68,14 @@
 
 
 class Workspace(msgspec.Struct, frozen=True):
-    """Whose requests they are that carry one of its API keys.
-
-    :param key_digests: of its API keys, by :func:`key_digest`; the keys themselves are
-        kept nowhere.
-    :param priority: goes before the priorities of routes, 0 first; ``None`` leaves it
-        to these.
-    :param rate: requests a second that all nodes together let pass; 0 for any number.
-    :param burst: requests that may come at once on top.
+    """A tenant, identified by the API keys of its requests.
+
+    :param key_digests: digests of its API keys by :func:`key_digest`; the keys
+        themselves are not stored.
+    :param priority: overrides the priorities of routes, 0 is the highest; ``None``
+        uses the route's.
+    :param rate: limit of requests a second at all nodes; 0 if unlimited.
+    :param burst: requests allowed at once in addition to ``rate``.
     """
 
     name: str
@@ -94,9 +93,10 @@
     rate: float = 0.0,
     burst: float = 0.0,
 ) -> Workspace:
-    """Return a workspace by its API keys themselves.
+    """Return a workspace, with the digests of its API keys.
 
-    :param burst: means nothing without a rate.
+    :param keys: the API keys in plain text.
+    :param burst: ignored without a rate.
     """
     return Workspace(
         name=name,
@@ -111,18 +111,18 @@
 
 
 def key_digest(key: bytes) -> str:
-    """Return what stands for an API key everywhere behind the edge.
+    """Return the digest that represents an API key inside the system.
 
-    API keys are random, so that nothing is found by trying likely ones; a slow hash
-    would cost each request more than everything else that is done for it.
+    API keys are random, so a slow hash against guessing is not needed; it would
+    dominate the cost of each request.
     """
     return hashlib.blake2b(key, digest_size=KEY_DIGEST_BYTES).hexdigest()
 
 
 class RequestLimits(msgspec.Struct, frozen=True):
-    """What callers may send, and how long a connection may take or stay idle.
+    """Limits on the size of callers' requests and on the times of their connections.
 
-    :param head_timeout_ms: from the first byte of a head to its last.
+    :param head_timeout_ms: from the first to the last byte of a request head.
     """
 
     head_bytes: int = 32_768
@@ -132,11 +132,11 @@
 
 
 class RouteTable(msgspec.Struct, frozen=True, tag="routes"):
-    """A whole configuration of routes.
+    """A complete set of routes.
 
-    :param version: greater than that of every table before it.
-    :param services: every service there is; empty where the table does not say.
-    :param workspaces: ``None`` where requests carry no API keys.
+    :param version: greater than those of all previous tables.
+    :param services: all services; empty if the table does not list them.
+    :param workspaces: ``None`` if requests carry no API keys.
     """
 
     version: int
@@ -146,7 +146,7 @@
     workspaces: tuple[Workspace, ...] | None = None
 
     def names_service(self, service: str) -> bool:
-        """Tell whether there is such a service, as far as the table says."""
+        """Whether a service is listed or routed to; true for any if none are listed."""
         if not self.services or service in self.services:
             return True
         return any(
@@ -155,10 +155,10 @@
 
 
 def check_table(table: RouteTable, *, origin: str) -> RouteTable:
-    """Return a table whose values are all allowed.
+    """Return the table if all of its values are allowed.
 
-    :param origin: where the table came from, for the error.
-    :raises InvalidDocument: with every problem, each naming field and value.
+    :param origin: source of the table, for errors.
+    :raises InvalidDocument: with all problems, each naming field and value.
     """
     problems: list[str] = []
     seen: set[tuple[str, str]] = set()
@@ -170,10 +170,10 @@
             problems.append(f"limits: {field} is {value}; allowed is 1 or more")
     for route in table.routes:
         problems += [f"route {route.name!r}: {p}" for p in _route_problems(route)]
-        place = (route.host, route.path_prefix)
-        if place in seen:
-            problems.append(f"route {route.name!r}: {place} has a route already")
-        seen.add(place)
+        match = (route.host, route.path_prefix)
+        if match in seen:
+            problems.append(f"route {route.name!r}: {match} has a route already")
+        seen.add(match)
     problems += _workspace_problems(table.workspaces or ())
     if problems:
         raise errors.InvalidDocument(problems, step="check routes", peer=origin)
@@ -184,17 +184,17 @@
     workspaces: tuple[Workspace, ...],
 ) -> collections.abc.Iterator[str]:
     names: set[str] = set()
-    holders: dict[str, str] = {}
+    owners: dict[str, str] = {}
     for workspace in workspaces:
         where = f"workspace {workspace.name!r}"
         if workspace.name in names:
             yield f"{where}: the name is taken; allowed is one of each name"
         names.add(workspace.name)
         for digest in workspace.key_digests:
-            holder = holders.setdefault(digest, workspace.name)
-            if holder != workspace.name:
+            owner = owners.setdefault(digest, workspace.name)
+            if owner != workspace.name:
                 yield (
-                    f"{where}: key_digests holds {digest!r}, which {holder!r} has too;"
+                    f"{where}: key_digests holds {digest!r}, which {owner!r} has too;"
                     " allowed is one workspace for each key"
                 )
         for problem in _value_problems(workspace):
@@ -224,7 +224,7 @@
 
 
 def _is_header_text(text: str) -> bool:
-    """Tell whether a name can stand in a header of its own."""
+    """Whether a name is valid as a header value."""
     return bool(text) and text.isascii() and text.isprintable() and text == text.strip()
 
 
@@ -249,16 +249,16 @@
 
 
 class RouteIndex:
-    """A route table made ready for look-ups.
+    """An index of a route table.
 
-    :param table: a checked table.
+    :param table: a validated table.
     """
 
     def __init__(self, table: RouteTable) -> None:
         self.table = table
         self._by_host: dict[str, dict[str, Route]] = {}
         self._rules: dict[tuple[str, str, int | None], configuration.KindRule] = {}
-        self._importance = _importance_of(table)
+        self._importance = _importance_function(table)
         self._by_digest: dict[str, Workspace] = {}
         self._by_name: dict[str, Workspace] = {}
         self.has_caps = any(w.rate > 0 for w in table.workspaces or ())
@@ -278,13 +278,13 @@
         return self.table.version
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route of a host whose prefix is the longest that fits."""
+        """Return the route of a host with the longest matching prefix."""
         prefixes = self._by_host.get(host)
         if prefixes is None:
             return None
         end = len(path)
-        # Every prefix ends with a slash, so only the path's slashes can end one;
-        # that costs a few look-ups however many routes a host has.
+        # Every prefix ends with a slash, so only the slashes of the path are tried:
+        # the cost does not depend on the number of routes.
         while (end := path.rfind("/", 0, end)) >= 0:
             route = prefixes.get(path[: end + 1])
             if route is not None:
@@ -293,23 +293,23 @@
 
     @property
     def needs_keys(self) -> bool:
-        """Whether requests carry API keys, but for those on public routes."""
+        """Whether requests need API keys, except on public routes."""
         return self.table.workspaces is not None
 
     def workspace_of(self, digest: str) -> Workspace | None:
-        """Return whose API key it is that has a digest."""
+        """Return the workspace of an API key, by the digest of the key."""
         return self._by_digest.get(digest)
 
     def workspace(self, name: str) -> Workspace | None:
-        """Return the workspace of a name."""
+        """Return a workspace by its name."""
         return self._by_name.get(name)
 
     def rule(
         self, route: Route, service: str, workspace: Workspace | None = None
     ) -> configuration.KindRule:
-        """Return the rule by which the core treats a request of a route.
+        """Return the rule for a request of a route.
 
-        :param workspace: whose request it is.
+        :param workspace: workspace of the request's API key, if there is one.
         """
         priority = None if workspace is None else workspace.priority
         key = (route.name, service, priority)
@@ -320,38 +320,38 @@
         return rule
 
 
-Importance = collections.abc.Callable[[Route, int | None], int]
-"""Gives the class of a request by its route and its workspace's priority."""
+_ImportanceFunction = collections.abc.Callable[[Route, int | None], int]
+"""Maps a route and the priority of the workspace to an importance class."""
 
 
-def _importance_of(table: RouteTable) -> Importance:
-    """Return how a table orders its requests: by the priority of the workspace, then
+def _importance_function(table: RouteTable) -> _ImportanceFunction:
+    """Return the function that orders requests by the priority of the workspace, then
     by that of the route.
 
-    Where all workspaces have the same priority it tells nothing, and each priority of
-    the routes keeps a class of its own.
+    If all workspaces have the same priority, only the priority of the route counts and
+    determines the class directly.
     """
     priorities = {workspace.priority for workspace in table.workspaces or ()}
     if len(priorities) <= 1:
         return lambda route, _: _class_at(route.priority)
-    order = sorted(
+    sort_keys = sorted(
         {
-            _order(route, priority)
+            _sort_key(route, priority)
             for route in table.routes
             for priority in {*priorities, None}
         }
     )
-    classes = {place: _class_at(index) for index, place in enumerate(order)}
-    return lambda route, priority: classes[_order(route, priority)]
+    classes = {key: _class_at(index) for index, key in enumerate(sort_keys)}
+    return lambda route, priority: classes[_sort_key(route, priority)]
 
 
-def _order(route: Route, priority: int | None) -> tuple[int, int]:
+def _sort_key(route: Route, priority: int | None) -> tuple[int, int]:
     return (route.priority if priority is None else priority, route.priority)
 
 
-def _class_at(place: int) -> int:
-    """Return the class of what has so many before it; later ones share the lowest."""
-    return MAX_PRIORITY - min(MAX_PRIORITY, place)
+def _class_at(position: int) -> int:
+    """Return the class at a position in the order; the last ones share the lowest."""
+    return MAX_PRIORITY - min(MAX_PRIORITY, position)
 
 
 def _rule(route: Route, service: str, importance: int) -> configuration.KindRule:
--- a/src/gingerturn/settings.py
+++ b/src/gingerturn/settings.py
@@ -1,6 +1,6 @@
-"""What one node is told at its start: its addresses, zone, log and secret.
+"""The settings of a node: its addresses, zone, log service and secret.
 
-A node learns nothing of its place from the network; all is in one TOML file::
+They are read from a TOML file::
 
     [node]
     id = "plans-1"
@@ -31,20 +31,20 @@
 from gingerturn.internal import checks, toml_lines
 
 MIN_SECRET_LENGTH = 16
-"""Below 16 characters a shared secret can be guessed offline from one packet."""
+"""A shorter secret could be found by an offline brute-force attack on one packet."""
 
 MAX_BODY_BUFFER = 512 * 1024
-"""Half of the longest frame between nodes, so that a held body fits into one."""
+"""Half of the maximal frame between nodes, so that a buffered body fits into one."""
 
 
 class Node(msgspec.Struct, forbid_unknown_fields=True):
-    """Addresses and place of the node.
+    """Addresses and location of the node.
 
-    :param admin_port: of the administration API; 0 serves none.
-    :param ready_port: where readiness is told; 0 serves none.
-    :param metrics_port: where metrics are told; 0 serves none.
-    :param advertised_peers_port: what other nodes connect to, where something between
-        translates addresses; 0 for ``peers_port`` itself.
+    :param admin_port: port of the administration API; 0 disables it.
+    :param ready_port: port of the readiness probe; 0 disables it.
+    :param metrics_port: port of the metrics endpoint; 0 disables it.
+    :param advertised_peers_port: port that other nodes connect to, if addresses are
+        translated in between; 0 for ``peers_port``.
     """
 
     id: str
@@ -64,9 +64,9 @@
 class Log(msgspec.Struct, forbid_unknown_fields=True):
     """The platform's log service.
 
-    :param poll_ms: longest time that one read may wait for new records.
-    :param keyed: it keeps the newest record of each key, from which a node learns
-        members and routes at its start.
+    :param poll_ms: longest duration of a long poll.
+    :param keyed: it retains the newest record of each key, from which a node reads
+        members and routes when it starts.
     """
 
     url: str
@@ -76,16 +76,16 @@
 
 
 class Backend(msgspec.Struct, forbid_unknown_fields=True):
-    """The backend server beside the node, as far as it is known beforehand.
+    """The backend server beside the node.
 
-    :param service: the service in whose name it calls others.
+    :param service: service on whose behalf it calls others.
     """
 
     service: str = ""
 
 
 class Routing(msgspec.Struct, forbid_unknown_fields=True):
-    """How callers' requests find their service.
+    """How the service of a caller's request is determined.
 
     :param table: by the route table; otherwise ``Host`` names the service.
     """
@@ -94,12 +94,12 @@
 
 
 class Retries(msgspec.Struct, forbid_unknown_fields=True):
-    """Bounds on retries that hold for all nodes together.
+    """Retry budget of a service over all nodes.
 
-    In any window a service gets at most ``ratio`` retries for each of its first
-    attempts, and ``slack`` more.
+    In any window a service receives at most ``ratio`` retries for each first attempt,
+    plus ``slack``.
 
-    :param slack: ``None`` bounds each node by itself only.
+    :param slack: ``None`` applies retry budgets to each node separately.
     """
 
     slack: float | None = None
@@ -108,13 +108,13 @@
 
 
 class Workspaces(msgspec.Struct, forbid_unknown_fields=True):
-    """Bounds on API keys, and on what workspaces with a cap may use.
+    """Revocation of API keys and tolerances of caps.
 
-    :param revoke_ms: a key that was taken away ceases to work within this time at each
-        node, also at one that nobody can reach; 0 lets a node that is cut off go on.
-    :param cap_window_ms: a cap holds in each window of this length.
-    :param cap_over: share by which it may be passed.
-    :param cap_slack: requests by which it may be passed besides.
+    :param revoke_ms: time within which every node, also an isolated one, refuses a
+        revoked key; 0 lets an isolated node continue.
+    :param cap_window_ms: length of the windows in which a cap applies.
+    :param cap_over: share of the cap by which it may be exceeded.
+    :param cap_slack: number of requests by which it may be exceeded in addition.
     """
 
     revoke_ms: int = 0
@@ -124,26 +124,26 @@
 
 
 class Secret(msgspec.Struct, forbid_unknown_fields=True):
-    """The secret that nodes share; two are accepted during a rotation."""
+    """The shared secret of the nodes; two are accepted during a rotation."""
 
     current: str
     previous: str = ""
 
 
 class Limits(msgspec.Struct, forbid_unknown_fields=True):
-    """Bounds on memory, and on what callers send.
-
-    A route table brings bounds on callers of its own, which go before these.
-
-    :param body_buffer: bytes of a body that are held to be sent again or
-        checked whole; longer bodies are streamed.
-    :param decisions: decision records kept for ``gingerturn why``, of admissions
-        and of refusals each; 64 bytes a record.
-    :param head_bytes: of a caller's request.
-    :param body_bytes: of a caller's request.
-    :param head_timeout_ms: from the first byte of a head to its last.
-    :param idle_timeout_ms: after which a caller's connection without a request is
-        closed; longer than load balancers and client libraries keep theirs.
+    """Limits on memory and on requests of callers.
+
+    The request limits of a route table take precedence over these.
+
+    :param body_buffer: largest body in bytes that is buffered for retries and
+        checks; longer bodies are streamed.
+    :param decisions: decision records retained for ``gingerturn why``, for admissions
+        and refusals each; 64 bytes a record.
+    :param head_bytes: size of the head of a caller's request.
+    :param body_bytes: size of the body of a caller's request.
+    :param head_timeout_ms: from the first to the last byte of a request head.
+    :param idle_timeout_ms: after which an idle connection of a caller is closed;
+        longer than the idle timeouts of load balancers and client libraries.
     """
 
     body_buffer: int = 262_144
@@ -155,18 +155,18 @@
 
 
 RETRY_RANGES = {"ratio": (0.0, 1.0), "window_ms": (100, 3_600_000)}
-"""Least and most allowed of the bound on retries."""
+"""Allowed range of each field of :class:`Retries` but ``slack``."""
 
 WORKSPACE_RANGES = {
     "cap_window_ms": (1_000, 3_600_000),
     "cap_over": (0.0, 1.0),
     "cap_slack": (0.0, 1e6),
 }
-"""Least and most allowed of the bounds on workspaces."""
+"""Allowed range of each field of :class:`Workspaces` but ``revoke_ms``."""
 
-LEAST_REVOKE_MS = 4_000
-"""News of a configuration takes up to three seconds to the farthest node, and another
-second is left for what was let in before."""
+MIN_REVOKE_MS = 4_000
+"""A configuration takes up to 3 s to reach all nodes; 1 s remains for requests admitted
+before."""
 
 LIMIT_RANGES = {
     "body_buffer": (1_024, MAX_BODY_BUFFER),
@@ -176,21 +176,21 @@
     "head_timeout_ms": (100, 600_000),
     "idle_timeout_ms": (100, 86_400_000),
 }
-"""Least and most allowed of each limit."""
+"""Allowed range of each limit."""
 
 
 LOG_LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
 
 
 class Logging(msgspec.Struct, forbid_unknown_fields=True):
-    """How log lines are written."""
+    """Level and format of log lines."""
 
     level: str = "INFO"
     json: bool = False
 
 
 class Team(msgspec.Struct, forbid_unknown_fields=True):
-    """A team's right to publish its own document.
+    """A team and the token that allows it to publish its document.
 
     :param token_sha256: SHA-256 of the team's token, in hexadecimal.
     """
@@ -200,7 +200,7 @@
 
 
 class Settings(msgspec.Struct, forbid_unknown_fields=True):
-    """The whole settings file."""
+    """The settings file."""
 
     node: Node
     log: Log
@@ -216,12 +216,11 @@
 
 
 def load(path: pathlib.Path) -> Settings:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
-    :raises InvalidDocument: with every problem found, each with its line.
+    :raises InvalidDocument: with all problems found, each with its line.
     """
-    # Imported here: a node whose settings come in another format starts without it,
-    # a tenth sooner.
+    # Imported lazily: a node whose settings have another format starts faster.
     import tomllib
 
     try:
@@ -242,9 +241,9 @@
 
 
 def check_settings(settings: Settings, *, origin: str) -> Settings:
-    """Return settings whose values are all allowed, when no file of ours holds them.
+    """Return settings that were not read by :func:`load` if all values are allowed.
 
-    :raises InvalidDocument: with every problem found.
+    :raises InvalidDocument: with all problems found.
     """
     problems = _problems(settings, "", pathlib.Path(origin))
     if problems:
@@ -297,24 +296,24 @@
     check("$.secret.current", _check_secret, "current", settings.secret.current)
     if settings.secret.previous:
         check("$.secret.previous", _check_secret, "previous", settings.secret.previous)
-    for field, (least, most) in LIMIT_RANGES.items():
+    for field, (low, high) in LIMIT_RANGES.items():
         value = getattr(settings.limits, field)
-        check(f"$.limits.{field}", checks.check_range, field, value, least, most)
+        check(f"$.limits.{field}", checks.check_range, field, value, low, high)
     if settings.backend.service:
         service = settings.backend.service
         check("$.backend.service", checks.check_name, "service", service)
     if settings.retries.slack is not None:
         slack = settings.retries.slack
         check("$.retries.slack", checks.check_range, "slack", slack, 0.0, 1e6)
-    for field, (lowest, highest) in RETRY_RANGES.items():
-        chosen = getattr(settings.retries, field)
-        check(f"$.retries.{field}", checks.check_range, field, chosen, lowest, highest)
-    for field, (lowest, highest) in WORKSPACE_RANGES.items():
-        chosen = getattr(settings.workspaces, field)
+    for field, (minimum, maximum) in RETRY_RANGES.items():
+        value = getattr(settings.retries, field)
+        check(f"$.retries.{field}", checks.check_range, field, value, minimum, maximum)
+    for field, (minimum, maximum) in WORKSPACE_RANGES.items():
+        value = getattr(settings.workspaces, field)
         where = f"$.workspaces.{field}"
-        check(where, checks.check_range, field, chosen, lowest, highest)
+        check(where, checks.check_range, field, value, minimum, maximum)
     if settings.workspaces.revoke_ms:
-        bounds = (settings.workspaces.revoke_ms, LEAST_REVOKE_MS, 3_600_000)
+        bounds = (settings.workspaces.revoke_ms, MIN_REVOKE_MS, 3_600_000)
         check("$.workspaces.revoke_ms", checks.check_range, "revoke_ms", *bounds)
     for peer in settings.peers:
         check("$.peers", _check_peer, peer)
@@ -346,18 +345,17 @@
         )
 
 
-def numbers_of(
-    told: collections.abc.Mapping[str, float | bool | str], *, origin: str
+def numeric_values(
+    values: collections.abc.Mapping[str, float | bool | str], *, origin: str
 ) -> dict[str, float]:
-    """Return the values that are numbers, also where they are written as text.
+    """Return the values that are numbers or texts of numbers.
 
-    Names may come that mean something to others; their values are not looked at
-    until one is used.
+    Other values are skipped, since they may be settings of other programs.
 
     :raises InvalidDocument: for a number that is not finite.
     """
     numbers: dict[str, float] = {}
-    for name, value in told.items():
+    for name, value in values.items():
         with contextlib.suppress(ValueError):
             numbers[name] = float(value)
     problems = [
--- a/tests/cover/test_backend_checks.py
+++ b/tests/cover/test_backend_checks.py
@@ -45,7 +45,7 @@
 
 def _checked(*found: _Connection | Exception) -> tuple[bool, _Pool]:
     applied: list[events.BackendChecked] = []
-    node = types.SimpleNamespace(dialect=dialect.OWN, apply=applied.append)
+    node = types.SimpleNamespace(dialect=dialect.DEFAULT, apply=applied.append)
     side = home.HomeSide(typing.cast(typing.Any, node))
     pool = _Pool(list(found))
     side.pool = typing.cast(typing.Any, pool)
--- a/tests/cover/test_explain.py
+++ b/tests/cover/test_explain.py
@@ -54,7 +54,7 @@
 )
 
 
-def _explained(wanted: str) -> explain.Story:
+def _explained(wanted: str) -> explain.Explanation:
     files = [_file(*lines) for lines in (REFUSED, CALL_FAILED, OUTCOME_UNKNOWN)]
     return explain.explain(explain.read(files), wanted)
 
--- a/tests/cover/test_idle_connections.py
+++ b/tests/cover/test_idle_connections.py
@@ -22,7 +22,7 @@
 
     def __init__(self, time: Clock) -> None:
         self._time = time
-        self.pool = backend_pool.Pool(dialect.OWN)
+        self.pool = backend_pool.Pool(dialect.DEFAULT)
         self.failures = 0
 
     def connect(self) -> backend_http.Connection:
--- a/tests/cover/test_logs.py
+++ b/tests/cover/test_logs.py
@@ -27,7 +27,7 @@
 def test_a_budget_allows_so_many_lines_a_second_and_counts_the_rest() -> None:
     budget = logs.Budget(2)
     assert [budget.take(5.1), budget.take(5.2), budget.take(5.9)] == [True, True, False]
-    assert budget.left_out == 1
+    assert budget.dropped == 1
     assert budget.take(6.0)
 
 
@@ -39,7 +39,7 @@
     line = b"x" * 999 + b"\n"
     for _ in range(1_000):
         output.write(line)
-    assert output.left_out > 0
+    assert output.dropped > 0
     found = b""
     while True:
         try:
@@ -48,7 +48,7 @@
             if not output._backlog:
                 break
             output.flush()
-    assert found == line * (1_000 - output.left_out)
+    assert found == line * (1_000 - output.dropped)
 
 
 def test_a_reader_that_is_gone_ends_nothing(pipe: tuple[int, int]) -> None:
--- a/tests/cover/test_metrics_text.py
+++ b/tests/cover/test_metrics_text.py
@@ -1,4 +1,4 @@
-"""Reading what a node's metrics say."""
+"""Parsing and summary of the metrics of a node."""
 
 import pytest
 
@@ -24,8 +24,8 @@
 """
 
 
-def test_a_page_is_told_in_sentences() -> None:
-    assert metrics_text.words(metrics_text.parse(PAGE, origin="n1")) == [
+def test_a_page_is_summarised() -> None:
+    assert metrics_text.summary(metrics_text.parse(PAGE, origin="n1")) == [
         "ready, routes version 12, 15 members, 14 upstreams",
         "3 calls in flight, 5 hosted",
         "backend server: 4 running, 0 queued, limit 20, level 0",
@@ -34,22 +34,22 @@
     ]
 
 
-def test_a_log_that_was_restored_is_told() -> None:
-    told = "gingerturn_log_epoch 6\ngingerturn_log_restores_total 2\n"
-    words = metrics_text.words(metrics_text.parse(PAGE + told, origin="n1"))
-    assert words[-1] == "log restored from a backup 2 times, epoch 6"
+def test_a_restored_log_is_reported() -> None:
+    samples = "gingerturn_log_epoch 6\ngingerturn_log_restores_total 2\n"
+    lines = metrics_text.summary(metrics_text.parse(PAGE + samples, origin="n1"))
+    assert lines[-1] == "log restored from a backup 2 times, epoch 6"
 
 
-def test_what_is_not_told_is_not_made_up() -> None:
+def test_missing_samples_are_shown_as_unknown() -> None:
     found = metrics_text.parse("gingerturn_ready 0\n", origin="n1")
-    words = metrics_text.words(found)
-    assert words[0] == "not ready, routes version ?, ? members, ? upstreams"
+    lines = metrics_text.summary(found)
+    assert lines[0] == "not ready, routes version ?, ? members, ? upstreams"
 
 
 @pytest.mark.parametrize(
     "line", ["gingerturn_ready x", "gingerturn_ready", "gingerturn_"]
 )
-def test_a_line_that_is_no_sample_is_named(line: str) -> None:
+def test_a_malformed_sample_is_reported_with_its_line(line: str) -> None:
     with pytest.raises(errors.InvalidArgument, match="is no sample") as caught:
         metrics_text.parse(f"gingerturn_members 3\n{line}\n", origin="page")
     assert "page:2" in str(caught.value)
--- a/tests/cover/test_parsers_take_any_bytes.py
+++ b/tests/cover/test_parsers_take_any_bytes.py
@@ -143,7 +143,7 @@
 def test_any_bytes_of_a_backend_server_end_an_exchange_at_most_once(
     pieces: list[bytes], head_only: bool
 ) -> None:
-    pool = backend_pool.Pool(dialect.OWN)
+    pool = backend_pool.Pool(dialect.DEFAULT)
     put: list[backend_http.Connection] = []
     pool.put = put.append  # type: ignore[method-assign]
     connection = backend_http.Connection(pool)
--- a/tests/cover/test_platform_formats.py
+++ b/tests/cover/test_platform_formats.py
@@ -1,4 +1,4 @@
-"""The adapter: the platform's formats as the product's types, and bad input."""
+"""Conversion of the platform's formats, and errors for invalid input."""
 
 import json
 import pathlib
@@ -95,8 +95,8 @@
     whole = json.dumps(CONFIG).encode()
     assert store._content("routes", log_service.Entry(b"config", b"{")) == b""
     assert store._content("routes", log_service.Entry(b"else", whole)) == b""
-    taken = store._content("routes", log_service.Entry(b"config", whole))
-    assert b'"version":28' in taken
+    record = store._content("routes", log_service.Entry(b"config", whole))
+    assert b'"version":28' in record
 
 
 def test_a_heartbeat_becomes_an_announcement() -> None:
@@ -130,7 +130,7 @@
 
 def test_the_metrics_port_is_the_one_that_the_deploy_file_names() -> None:
     text = (pathlib.Path(__file__).parents[2] / "deploy" / "system.toml").read_text()
-    assert f'metrics = "{7620 + boot.METRICS_PORT}/metrics"' in text
+    assert f'metrics = "{7620 + boot.METRICS_PORT_OFFSET}/metrics"' in text
 
 
 @pytest.mark.parametrize(
@@ -145,15 +145,16 @@
 def test_a_bad_settings_file_names_field_and_value(
     change: dict[str, object], named: str, tmp_path: pathlib.Path
 ) -> None:
-    told = {**BOOT, **change}
+    content = {**BOOT, **change}
     if "listen" in change:
-        # Without a port for it readiness is not served; that is no error.
+        # An address without a port disables the readiness probe.
         assert (
-            boot.to_settings(boot.load(_written(tmp_path, told))).node.ready_port == 0
+            boot.to_settings(boot.load(_written(tmp_path, content))).node.ready_port
+            == 0
         )
         return
     with pytest.raises(errors.InvalidDocument, match=named):
-        boot.to_settings(boot.load(_written(tmp_path, told)))
+        boot.to_settings(boot.load(_written(tmp_path, content)))
 
 
 @pytest.mark.parametrize("value", ["x", "-1", "65536", ""])
@@ -175,9 +176,9 @@
 
 
 def test_a_settings_file_without_a_field_names_it(tmp_path: pathlib.Path) -> None:
-    told = {key: value for key, value in BOOT.items() if key != "listen"}
+    content = {key: value for key, value in BOOT.items() if key != "listen"}
     with pytest.raises(errors.InvalidDocument, match="listen"):
-        boot.load(_written(tmp_path, told))
+        boot.load(_written(tmp_path, content))
 
 
 def test_a_settings_file_that_is_not_there_is_named(tmp_path: pathlib.Path) -> None:
@@ -185,14 +186,14 @@
         boot.load(tmp_path / "nowhere")
 
 
-def _written(folder: pathlib.Path, told: dict[str, object]) -> pathlib.Path:
+def _written(folder: pathlib.Path, content: dict[str, object]) -> pathlib.Path:
     path = folder / "boot.json"
-    path.write_text(json.dumps(told))
+    path.write_text(json.dumps(content))
     return path
 
 
-def _with_workspaces(*told: object) -> bytes:
-    return json.dumps({**CONFIG, "tenants": list(told)}).encode()
+def _with_workspaces(*workspaces: object) -> bytes:
+    return json.dumps({**CONFIG, "tenants": list(workspaces)}).encode()
 
 
 def test_workspaces_are_taken_with_digests_of_their_keys() -> None:
@@ -205,17 +206,17 @@
     shop, depot = table.workspaces
     assert shop.key_digests == (routes.key_digest(b"k1"), routes.key_digest(b"k2"))
     assert (shop.rate, shop.burst, shop.priority) == (5.0, 9.0, None)
-    # A burst without a rate bounds nothing on the platform.
+    # On the platform a burst without a rate is ignored.
     assert (depot.rate, depot.burst, depot.priority) == (0.0, 0.0, 2)
 
 
-def test_no_workspaces_is_another_thing_than_none_that_has_a_key() -> None:
+def test_missing_workspaces_differ_from_an_empty_list() -> None:
     assert configs.decode(json.dumps(CONFIG).encode()).workspaces is None
     assert configs.decode(_with_workspaces()).workspaces == ()
 
 
 @pytest.mark.parametrize(
-    ("told", "named"),
+    ("workspace", "named"),
     [
         ({"name": "shop", "api_keys": "k1"}, r"tenants\[0\].api_keys"),
         ({"name": "shop", "api_keys": [""]}, r"api_keys\[0\]"),
@@ -224,14 +225,18 @@
         ({"name": "shop", "rate_per_s": "much"}, "rate_per_s"),
     ],
 )
-def test_a_bad_workspace_names_what_is_wrong(told: object, named: str) -> None:
+def test_a_bad_workspace_names_what_is_wrong(workspace: object, named: str) -> None:
     with pytest.raises(errors.InvalidDocument, match=named):
-        configs.decode(_with_workspaces(told))
+        configs.decode(_with_workspaces(workspace))
 
 
 def test_five_thousand_workspaces_are_taken() -> None:
-    told = [{"name": f"w{n}", "api_keys": [f"k{n}", f"l{n}"]} for n in range(5_000)]
-    table = routes.check_table(configs.decode(_with_workspaces(*told)), origin="op")
+    workspaces = [
+        {"name": f"w{n}", "api_keys": [f"k{n}", f"l{n}"]} for n in range(5_000)
+    ]
+    table = routes.check_table(
+        configs.decode(_with_workspaces(*workspaces)), origin="op"
+    )
     index = routes.RouteIndex(table)
     found = index.workspace_of(routes.key_digest(b"l4999"))
     assert found is not None
@@ -251,10 +256,11 @@
     ).workspaces
     assert chosen.revoke_ms == 5_000
     assert (chosen.cap_window_ms, chosen.cap_over, chosen.cap_slack) == (4_000, 0.2, 7)
-    open_ = {**bounds, "fail_closed": False}
-    told = {**BOOT, "bounds": open_}
+    fail_open = {**bounds, "fail_closed": False}
+    content = {**BOOT, "bounds": fail_open}
     assert (
-        boot.to_settings(boot.load(_written(tmp_path, told))).workspaces.revoke_ms == 0
+        boot.to_settings(boot.load(_written(tmp_path, content))).workspaces.revoke_ms
+        == 0
     )
 
 
--- a/tests/cover/test_silent_connections.py
+++ b/tests/cover/test_silent_connections.py
@@ -35,7 +35,7 @@
     return {
         "peer that called": peers.Accepted(node),
         "peer that was called": peers.Dialled(node, lambda: None, lambda: None),
-        "backend server": backend_http.Connection(backend_pool.Pool(dialect.OWN)),
+        "backend server": backend_http.Connection(backend_pool.Pool(dialect.DEFAULT)),
     }
 
 
--- a/tests/nocover/test_deadly_requests_for_real.py
+++ b/tests/nocover/test_deadly_requests_for_real.py
@@ -68,7 +68,7 @@
 
     (request,) = _kept_out(entry)
     shown = command_line._run("quarantine", "show", "--admin", entry.admin)
-    assert f"{request}: 3 backend servers ended" in shown.stdout
+    assert f"{request}: 3 backend servers crashed" in shown.stdout
     other = command_line._run(
         "quarantine", "clear", "0" * 12, "--author", "me", "--admin", entry.admin
     )
--- a/tests/nocover/test_on_platform.py
+++ b/tests/nocover/test_on_platform.py
@@ -195,10 +195,10 @@
     assert _ask(platform.machines["plans-1"], "h2").status_code == 200
 
 
-def _why(made: platform_processes.Platform, wanted: str) -> explain.Story:
+def _why(made: platform_processes.Platform, wanted: str) -> explain.Explanation:
     """Explain a request from the logs of all nodes, once they tell how it ended."""
 
-    def story() -> explain.Story:
+    def story() -> explain.Explanation:
         paths = [made.folder / f"{name}.log" for name in made.machines]
         with contextlib.ExitStack() as stack:
             files = [stack.enter_context(path.open("rb")) for path in paths]
