--- a/tests/cover/test_announcements.py
+++ b/tests/cover/test_announcements.py
@@ -1,4 +1,4 @@
-"""The backend server's announcements: late ones, leaving, another at its address."""
+"""Announcements of the backend server: order, withdrawal and replaced instances."""
 
 import pytest
 
@@ -31,7 +31,7 @@
     assert state.backend.slots == 8
 
 
-def test_a_new_instance_takes_over_and_the_old_one_speaks_in_vain() -> None:
+def test_announcements_of_a_replaced_instance_are_ignored() -> None:
     state = routed.node_state(service="plans")
     reducer.reduce(state, _withdrawn("i-1"))
     reducer.reduce(state, routed.announced(instance="i-2"))
@@ -41,11 +41,9 @@
     assert builders.only(out, effects.DispatchCall).instance == "i-2"
 
 
-def test_a_late_word_of_an_instance_of_before_a_restart_costs_no_more_than_a_call() -> (
-    None
-):
-    # The node was restarted, so it had never heard of the old instance; its late word
-    # was taken for a new start, and the living one was ignored for good.
+def test_a_late_announcement_after_a_node_restart_costs_at_most_one_call() -> None:
+    # A restarted node has no record of the old instance and accepts its late
+    # announcement; that must not make it ignore the current instance for good.
     state = routed.node_state(service="plans")
     reducer.reduce(state, routed.announced(instance="i-old", sequence=50))
     reducer.reduce(state, routed.announced(instance="i-1", sequence=2))
@@ -59,7 +57,7 @@
     assert builders.only(out, effects.DispatchCall).instance == "i-1"
 
 
-def test_a_replaced_instance_does_not_come_back_beside_its_successor() -> None:
+def test_a_replaced_instance_does_not_return_beside_its_successor() -> None:
     state = routed.node_state(service="plans")
     reducer.reduce(state, routed.announced(instance="i-2"))
     reducer.reduce(state, routed.announced(instance="i-1", sequence=9))
@@ -67,7 +65,7 @@
     assert builders.only(out, effects.DispatchCall).instance == "i-2"
 
 
-def test_a_replaced_instance_needs_a_later_word_to_come_back() -> None:
+def test_a_replaced_instance_needs_a_later_announcement_to_return() -> None:
     state = routed.node_state(service="plans")
     reducer.reduce(state, routed.announced(sequence=7))
     reducer.reduce(state, routed.announced(instance="i-2"))
--- a/tests/cover/test_configuration.py
+++ b/tests/cover/test_configuration.py
@@ -1,4 +1,4 @@
-"""Documents: what is accepted, and errors that name file, line, value and remedy."""
+"""Documents and settings: validation, with errors that name file, line and value."""
 
 import pathlib
 
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "told"),
+    ("old", "new", "expected"),
     [
         ("timeout_ms = 5000", "timeout_ms = 0", "timeout_ms is 0; allowed is 1 to"),
         ("retry_allowance = 2", "retry_allowance = 99", "allowed is 0 to 16"),
@@ -42,15 +42,15 @@
     ],
 )
 def test_an_error_names_line_value_and_what_is_allowed(
-    old: str, new: str, told: str
+    old: str, new: str, expected: str
 ) -> None:
     text = _changed(old, new)
     message = _problem(text)
-    assert told in message
+    assert expected in message
     line = _line(text, new)
     # Problems between documents name the line where the item is declared.
     nearby = {f"shop.toml:{line - back}:" for back in range(5)}
-    assert any(place in message for place in nearby), message
+    assert any(position in message for position in nearby), message
 
 
 def test_zero_slots_are_refused() -> None:
@@ -58,16 +58,16 @@
     assert "slots is 0; allowed is 1 to 100000" in _problem(text)
 
 
-def test_a_cycle_of_importance_is_told() -> None:
+def test_a_cycle_of_importance_is_reported() -> None:
     text = _changed('name = "lookup"', 'name = "lookup"\nabove = ["protected"]')
     assert "cycle" in _problem(text)
 
 
-def test_broken_toml_is_told() -> None:
+def test_malformed_toml_is_reported() -> None:
     assert "not TOML" in _problem("[[service]\n")
 
 
-def test_every_problem_is_told_at_once() -> None:
+def test_all_problems_are_reported_together() -> None:
     text = _changed("timeout_ms = 5000", "timeout_ms = 0").replace(
         "timeout_ms = 10000", "timeout_ms = 0"
     )
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "told"),
+    ("old", "new", "expected"),
     [
         ('host = "127.0.0.1"', 'host = "localhost"', "allowed is an IP number"),
         ("calls_port = 8100", "calls_port = 0", "allowed is 1 to 65535"),
@@ -133,14 +133,14 @@
         ('zone = "bne-a"', "", "zone"),
     ],
 )
-def test_bad_settings_are_told(
-    tmp_path: pathlib.Path, old: str, new: str, told: str
+def test_invalid_settings_are_reported(
+    tmp_path: pathlib.Path, old: str, new: str, expected: str
 ) -> None:
     path = tmp_path / "node.toml"
     path.write_text(SETTINGS.replace(old, new))
     with pytest.raises(errors.InvalidDocument, match="node.toml") as caught:
         settings.load(path)
-    assert told in str(caught.value)
+    assert expected in str(caught.value)
 
 
 def test_good_settings_are_read(tmp_path: pathlib.Path) -> None:
@@ -149,6 +149,6 @@
     assert settings.load(path).node.zone == "bne-a"
 
 
-def test_missing_settings_are_told(tmp_path: pathlib.Path) -> None:
+def test_missing_settings_are_reported(tmp_path: pathlib.Path) -> None:
     with pytest.raises(errors.InvalidDocument, match="cannot be read"):
         settings.load(tmp_path / "none.toml")
--- a/tests/cover/test_routes.py
+++ b/tests/cover/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes: the longest prefix, whole tables by version, turns by weight."""
+"""Route tables: prefix matching, validation, versions and weights."""
 
 import collections
 
@@ -81,13 +81,13 @@
     state = routed.node_state()
     highest = 1
     for version in versions:
-        told = routed.table(version=version)
-        reducer.reduce(state, events.RoutesReceived(now=state.now, table=told))
+        table = routed.table(version=version)
+        reducer.reduce(state, events.RoutesReceived(now=state.now, table=table))
         highest = max(highest, version)
         assert state.routes is not None and state.routes.version == highest
 
 
-def test_a_later_version_heard_by_gossip_is_fetched_from_that_peer() -> None:
+def test_a_later_version_in_gossip_is_fetched_from_that_peer() -> None:
     state = routed.node_state()
     builders.add_members(state, builders.member("n2", "plans"))
     message = builders.gossip(route_version=7)
@@ -95,7 +95,7 @@
     assert builders.only(out, effects.FetchRoutes).node == "n2"
 
 
-def test_an_older_version_heard_by_gossip_is_not_fetched() -> None:
+def test_an_older_version_in_gossip_is_not_fetched() -> None:
     state = routed.node_state()
     builders.add_members(state, builders.member("n2", "plans"))
     message = builders.gossip(route_version=1)
@@ -103,7 +103,7 @@
     assert not builders.all_of(out, effects.FetchRoutes)
 
 
-def test_without_a_table_a_caller_is_told_to_come_back() -> None:
+def test_without_a_table_a_call_is_refused_with_a_retry_delay() -> None:
     begin = routed.started()
     state = reducer.new_state(begin)
     reducer.reduce(state, begin)
@@ -125,7 +125,7 @@
     st.lists(st.integers(0, 9), min_size=2, max_size=4).filter(any),
     st.integers(1, 300),
 )
-def test_turns_keep_to_the_weights_within_one_request_each(
+def test_requests_are_split_by_weight_within_two_requests(
     weights: list[int], count: int
 ) -> None:
     shares = tuple((f"s{n}", weight) for n, weight in enumerate(weights))
@@ -141,7 +141,7 @@
         assert abs(sent[service] - count * weight / total) <= 2.0
 
 
-def test_what_one_service_of_a_split_refuses_is_not_moved_to_another() -> None:
+def test_refusals_of_a_service_in_a_split_are_not_rerouted() -> None:
     shares = (("plans", 1), ("porting", 1))
     state = routed.node_state(routed.route(shares=shares))
     builders.add_members(state, builders.member("n2", "plans"))
--- a/tests/cover/test_workspace_settings.py
+++ b/tests/cover/test_workspace_settings.py
@@ -1,4 +1,4 @@
-"""The operators' bounds on workspaces reach the decisions."""
+"""Settings of workspaces take effect in the core."""
 
 from gingerturn import settings
 from gingerturn.internal.core import cap_window, reducer
@@ -6,7 +6,7 @@
 from tests.common import builders, keyed
 
 
-def test_a_node_goes_by_the_bounds_of_its_settings() -> None:
+def test_the_core_uses_the_workspace_settings_of_the_node() -> None:
     chosen = builders.settings()
     chosen.workspaces = settings.Workspaces(
         revoke_ms=6_000, cap_window_ms=2_000, cap_over=0.5, cap_slack=4.0
@@ -16,6 +16,6 @@
     reducer.reduce(state, begin)
     assert state.freshness.revoke_ms == 6_000.0
     cap = keyed.workspace("shop", rate=10.0, burst=4.0)
-    # 24 in a window, 16 by which that may be passed, a part of which is used.
+    # 24 requests in a window, and a share of the tolerance of 16.
     used = cap_window.TOLERANCE_USED * 16.0
     assert cap_window.allowed(state, cap) == 24.0 + used
--- a/tests/quality/test_rules_can_be_broken.py
+++ b/tests/quality/test_rules_can_be_broken.py
@@ -252,7 +252,7 @@
         route_table,
         "on_peer_version",
         _nothing,
-        of_routes.test_a_later_version_heard_by_gossip_is_fetched_from_that_peer,
+        of_routes.test_a_later_version_in_gossip_is_fetched_from_that_peer,
     ),
     (
         "CONFIG, never back",
@@ -325,7 +325,7 @@
         route_table,
         "resolve",
         _no_route,
-        of_routes.test_without_a_table_a_caller_is_told_to_come_back,
+        of_routes.test_without_a_table_a_call_is_refused_with_a_retry_delay,
     ),
     (
         "RECOVER, parted sides",
