--- a/src/gingerturn/internal/shell/node.py
+++ b/src/gingerturn/internal/shell/node.py
@@ -91,7 +91,7 @@
         loaded: settings.Settings,
         *,
         record: typing.BinaryIO | None = None,
-        dialect: dialects.Dialect = dialects.OWN,
+        dialect: dialects.Dialect = dialects.DEFAULT,
         log: log_service.LogService | None = None,
     ) -> None:
         self.settings = loaded
@@ -378,7 +378,7 @@
         now = clock.now()
         if now >= self._next_dropped_lines_report:
             self._next_dropped_lines_report = now + DROPPED_LINES_INTERVAL_MS
-            self.counters.lines_dropped += logs.report_left_out()
+            self.counters.lines_dropped += logs.report_dropped()
 
     def _check_callers(self) -> None:
         now = clock.now()
