--- a/src/gingerturn/internal/shell/backend_http.py
+++ b/src/gingerturn/internal/shell/backend_http.py
@@ -41,8 +41,9 @@
 class Connection(asyncio.Protocol):
     """A connection to the backend server, for one exchange at a time.
 
-    Invariant: it returns to the pool only after a complete answer. It is closed after a
-    cancelled or failed exchange, and after an answer to another request.
+    Invariant: it returns to the pool only after a complete answer with no bytes after
+    it. It is closed after a cancelled or failed exchange, and after an answer to
+    another request.
 
     :param pool: the pool that it returns to.
     """
--- a/src/gingerturn/internal/shell/backend_pool.py
+++ b/src/gingerturn/internal/shell/backend_pool.py
@@ -1,7 +1,7 @@
 """Pool of connections to the backend server, with an adaptive idle timeout.
 
-A backend server, or a device on the way, may drop an idle connection. A call written to
-such a connection has an unknown outcome, so connections idle for too long are not used.
+A backend server may close or drop an idle connection. A call written to such a
+connection has an unknown outcome, so connections idle for too long are not used.
 """
 
 import asyncio
