--- a/src/gingerturn/internal/checks.py
+++ b/src/gingerturn/internal/checks.py
@@ -77,7 +77,7 @@
         raise errors.InvalidDocument([problem], step=step, peer=peer) from None
 
 
-def parse_hexadecimal(field: str, text: str, *, step: str, peer: str) -> int:
+def parse_hex(field: str, text: str, *, step: str, peer: str) -> int:
     """Parse a hexadecimal number.
 
     :raises InvalidDocument: if it is none.
