--- a/tests/common/builders.py
+++ b/tests/common/builders.py
@@ -181,7 +181,7 @@
     )
 
 
-def call_terms(**changes: object) -> messages.CallMetadata:
+def call_metadata(**changes: object) -> messages.CallMetadata:
     """Return the metadata of a plain lookup."""
     fields: dict[str, object] = {
         "service": "plans",
@@ -206,7 +206,7 @@
         now=now,
         hosted=ids.HostedId(hosted),
         sender=ids.NodeId("entry"),
-        metadata=metadata or call_terms(),
+        metadata=metadata or call_metadata(),
     )
 
 
@@ -242,7 +242,7 @@
     tokens: int = 0,
     level: int = 0,
     tree_level: int = 0,
-    told: messages.LoadReport | None = None,
+    load_report: messages.LoadReport | None = None,
     size: int = 0,
     now: float = START,
 ) -> events.AttemptAnswered:
@@ -252,7 +252,7 @@
         attempt=ids.AttemptId(attempt),
         status=status,
         tokens=tokens,
-        report=told or report(level=level, tree_level=tree_level),
+        report=load_report or report(level=level, tree_level=tree_level),
         size=size,
     )
 
@@ -263,8 +263,8 @@
     tree_level: int = 0,
     load: int = 1,
     limit: int = 10,
-    scarce: str = "",
-    slot_ms: float = 0.0,
+    bottleneck: str = "",
+    bottleneck_slot_ms: float = 0.0,
 ) -> messages.LoadReport:
     """Return a load report."""
     return messages.LoadReport(
@@ -272,8 +272,8 @@
         tree_level=ids.Rank(tree_level),
         load=load,
         limit=limit,
-        bottleneck=ids.ServiceName(scarce),
-        bottleneck_slot_ms=slot_ms,
+        bottleneck=ids.ServiceName(bottleneck),
+        bottleneck_slot_ms=bottleneck_slot_ms,
     )
 
 
@@ -295,7 +295,7 @@
     return [effect for effect in out if isinstance(effect, kind)]
 
 
-def passed(state: states.State, duration: float) -> list[effects.Effect]:
+def advance(state: states.State, duration: float) -> list[effects.Effect]:
     """Advance time by ticks, and return every effect."""
     out: list[effects.Effect] = []
     end = state.now + duration
--- a/tests/common/keyed.py
+++ b/tests/common/keyed.py
@@ -64,7 +64,7 @@
 def prove(
     state: states.State,
     *tables: routes.RouteTable,
-    asked: float | None = None,
+    requested_at: float | None = None,
 ) -> None:
     """Let a node read the newest of the log."""
     reducer.reduce(
@@ -74,7 +74,7 @@
             stream=streams.ROUTES,
             records=tuple(messages.encode_record(table) for table in tables),
             end=1,
-            requested_at=state.now if asked is None else asked,
+            requested_at=state.now if requested_at is None else requested_at,
         ),
     )
 
--- a/tests/common/scenario.py
+++ b/tests/common/scenario.py
@@ -86,12 +86,12 @@
         if gossip and gossip[0].children[0] is not None:
             self.world.drop_gossip = float(gossip[0].children[0])
         self.truth = small.Truth(self.world)
-        self._watch_truth = self.world.on_root_end
+        self._check_root_end = self.world.on_root_end
         self.world.on_root_end = self._on_end
         self.world.on_effect = self._on_effect
         self._sent: dict[int, Sent] = {}
-        self._begun: dict[int, float] = {}
-        self._handed: list[tuple[float, str]] = []
+        self._last_sent_at: dict[int, float] = {}
+        self._dispatched: list[tuple[float, str]] = []
         self._opened: list[tuple[float, str]] = []
         self._retry = 1
         self._number = 0
@@ -151,7 +151,7 @@
         self._send(root)
 
     def _send(self, root: parts.Root) -> None:
-        self._begun[root.id] = self.world.now
+        self._last_sent_at[root.id] = self.world.now
         self.world.send(root)
 
     # Actions.
@@ -196,11 +196,11 @@
     # What is seen.
 
     def _on_end(self, root: parts.Root) -> None:
-        self._watch_truth(root)
+        self._check_root_end(root)
         sent = self._sent[root.id]
         sent.answers.append(root.answer)
         if root.answer == "not-run":
-            sent.waits_ms.append(self.world.now - self._begun[root.id])
+            sent.waits_ms.append(self.world.now - self._last_sent_at[root.id])
         if root.answer == "ok":
             sent.complete = True
             sent.took_ms = self.world.now - root.sent
@@ -209,7 +209,7 @@
 
     def _on_effect(self, node: parts.FakeNode, effect: effects.Effect) -> None:
         if isinstance(effect, effects.DispatchCall):
-            self._handed.append((self._seconds, node.name))
+            self._dispatched.append((self._seconds, node.name))
         elif isinstance(effect, effects.OpenAttempt):
             self._opened.append((self._seconds, str(effect.node)))
         elif isinstance(effect, effects.Stopped):
@@ -265,7 +265,9 @@
         return len(self.truth.false_not_run)
 
     def _get_new_work(self, name: str, after: str) -> float:
-        return sum(1 for at, node in self._handed if node == name and at > float(after))
+        return sum(
+            1 for at, node in self._dispatched if node == name and at > float(after)
+        )
 
     def _get_opened_to(self, name: str, after: str) -> float:
         return sum(1 for at, node in self._opened if node == name and at > float(after))
--- a/tests/cover/test_a_new_start_under_the_same_id.py
+++ b/tests/cover/test_a_new_start_under_the_same_id.py
@@ -99,7 +99,7 @@
 def test_calls_of_the_former_start_end_unclear_and_free_their_slots() -> None:
     state = _home_node()
     for hosted, repeatable in ((1, True), (2, False)):
-        terms = builders.call_terms(repeatable=repeatable)
+        terms = builders.call_metadata(repeatable=repeatable)
         reducer.reduce(state, builders.opened(hosted, terms))
     out = reducer.reduce(state, _announced(started_ms=SECOND_MS))
     refusals = builders.all_of(out, effects.SendRefusal)
--- a/tests/cover/test_abandoned_exchanges.py
+++ b/tests/cover/test_abandoned_exchanges.py
@@ -51,7 +51,7 @@
 def _home_node_with_call(channel: _Channel, *, repeatable: bool) -> nodes.Node:
     node = nodes.Node(builders.settings("home"))
     node.apply(builders.announced("plans", now=clock.now()))
-    terms = builders.call_terms(deadline_ms=700.0, repeatable=repeatable)
+    terms = builders.call_metadata(deadline_ms=700.0, repeatable=repeatable)
     opened = frames.Open(
         call=7, terms=terms, head=b"GET / HTTP/1.1\r\n", body=b"", whole=True
     )
--- a/tests/cover/test_claims_of_a_restored_log.py
+++ b/tests/cover/test_claims_of_a_restored_log.py
@@ -68,7 +68,7 @@
 def _open(
     state: states.State, hosted: int, key: str, *, derived: bool = False
 ) -> list[effects.Effect]:
-    terms = builders.call_terms(
+    terms = builders.call_metadata(
         service="porting",
         kind="port-request",
         repeatable=False,
--- a/tests/cover/test_configuration_on_a_restored_log.py
+++ b/tests/cover/test_configuration_on_a_restored_log.py
@@ -127,7 +127,7 @@
     log.restore(1)
     out = log.read_by(node)
     assert node.revisions.documents == {"shop": _text("shop-b")}
-    out += builders.passed(node, 1_500.0)
+    out += builders.advance(node, 1_500.0)
     written = [
         messages.decode_record(effect.record)
         for effect in builders.all_of(out, effects.Append)
--- a/tests/cover/test_decisions_under_load.py
+++ b/tests/cover/test_decisions_under_load.py
@@ -108,7 +108,7 @@
     made = small.new_world(seed=3)
     truth = small.Truth(made)
     key = small.key_of(made, 1)
-    terms = builders.call_terms(
+    terms = builders.call_metadata(
         service="porting",
         kind="port-request",
         importance=1,
@@ -136,7 +136,7 @@
         claims=(messages.ClaimRecord(key=key, claim="old", node="q1/1"),)
     )
     reducer.reduce(state, builders.log_read("claims.porting", old))
-    terms = builders.call_terms(
+    terms = builders.call_metadata(
         service="porting", kind="port-request", repeatable=False, key=key
     )
     out = reducer.reduce(state, builders.opened(5, terms))
@@ -149,7 +149,7 @@
 
 
 def _ticket_terms(holder: str = TICKET) -> messages.CallMetadata:
-    return builders.call_terms(
+    return builders.call_metadata(
         service="porting",
         kind="port-request",
         repeatable=False,
@@ -186,7 +186,7 @@
     state.backend.times["plan-status"] = states.ServiceTime(
         mean_ms=400.0, measured_at=builders.START
     )
-    late = builders.call_terms(deadline_ms=300.0)
+    late = builders.call_metadata(deadline_ms=300.0)
     out = reducer.reduce(state, builders.opened(1, late))
     refusal = builders.only(out, effects.SendRefusal).refusal
     assert refusal.rule == decisions.Rule.NOT_IN_TIME
@@ -199,7 +199,7 @@
     state.backend.times["plan-status"] = states.ServiceTime(
         mean_ms=400.0, measured_at=builders.START
     )
-    late = builders.call_terms(depth=1, deadline_ms=300.0)
+    late = builders.call_metadata(depth=1, deadline_ms=300.0)
     out = reducer.reduce(state, builders.opened(1, late))
     assert builders.only(out, effects.DispatchCall).hosted == 1
     # Without a free slot it would delay other calls.
@@ -224,9 +224,9 @@
     if calls_others:
         state.child_kinds["sim-view"] = {("porting", "lookup"): builders.START}
     reducer.reduce(state, builders.opened(1))
-    deeper = builders.call_terms(depth=2, root=1 << 48)
+    deeper = builders.call_metadata(depth=2, root=1 << 48)
     reducer.reduce(state, builders.opened(2, deeper))
-    root = builders.call_terms(depth=0, root=2 << 48, kind="sim-view")
+    root = builders.call_metadata(depth=0, root=2 << 48, kind="sim-view")
     reducer.reduce(state, builders.opened(3, root))
     answer = events.BackendAnswered(
         now=builders.START, hosted=ids.HostedId(1), status=200
@@ -250,7 +250,9 @@
     reducer.reduce(state, builders.opened(1))
     for hosted in range(2, 2 + admission.MIN_QUEUE):
         reducer.reduce(state, builders.opened(hosted))
-    out = reducer.reduce(state, builders.opened(99, builders.call_terms(importance=3)))
+    out = reducer.reduce(
+        state, builders.opened(99, builders.call_metadata(importance=3))
+    )
     refused = builders.only(out, effects.SendRefusal)
     assert refused.hosted != 99
     assert refused.refusal.retry_after_ms > 0
--- a/tests/cover/test_freshness.py
+++ b/tests/cover/test_freshness.py
@@ -70,7 +70,7 @@
     state = _node()
     asked = state.now + 100.0
     state.now += 3_000.0
-    keyed.prove(state, asked=asked)
+    keyed.prove(state, requested_at=asked)
     assert freshness.age(state) == pytest.approx(2_900.0)
 
 
--- a/tests/cover/test_greeting.py
+++ b/tests/cover/test_greeting.py
@@ -50,7 +50,7 @@
     )
     call = frames.Open(
         call=7,
-        terms=builders.call_terms(),
+        terms=builders.call_metadata(),
         head=b"PUT / HTTP/1.1\r\n",
         body=b"x" * 4 * peers.MAX_UNPROVEN,
         whole=True,
--- a/tests/cover/test_keyed_members.py
+++ b/tests/cover/test_keyed_members.py
@@ -62,7 +62,7 @@
     state, out = _started()
     put = builders.only(out, effects.PutRecord)
     reducer.reduce(state, events.PutFailed(now=state.now, put=put.put))
-    out = builders.passed(state, 2_500.0)
+    out = builders.advance(state, 2_500.0)
     assert builders.all_of(out, effects.PutRecord)
 
 
@@ -72,7 +72,7 @@
     out = _listed(state, "n2", "n3")
     assert {e.port for e in builders.all_of(out, effects.SendGossip)} == {9000, 9001}
     builders.add_members(state, builders.member("n2", "plans"))
-    out = builders.passed(state, 5_000.0)
+    out = builders.advance(state, 5_000.0)
     contacted = [
         e.port
         for e in builders.all_of(out, effects.SendGossip)
@@ -102,16 +102,16 @@
     state, out = _started()
     put = builders.only(out, effects.PutRecord).put
     reducer.reduce(state, events.PutFailed(now=state.now, put=put))
-    out = builders.passed(
+    out = builders.advance(
         state, 2 * joining.PUT_RETRY_MS + joining.GONE_PROBE_INTERVAL_MS
     )
     _put_done(state, builders.only(out, effects.PutRecord).put)
-    out = [*_listed(state), *builders.passed(state, 50.0)]
+    out = [*_listed(state), *builders.advance(state, 50.0)]
     read = [e.stream for e in builders.all_of(out, effects.ReadNewest)]
     assert read == [streams.MEMBERS]
     builders.add_members(state, builders.member("n2", "plans"))
     _listed(state)
-    assert not builders.all_of(builders.passed(state, 3_000.0), effects.ReadNewest)
+    assert not builders.all_of(builders.advance(state, 3_000.0), effects.ReadNewest)
 
 
 def test_a_failed_read_is_tried_again_within_a_second() -> None:
@@ -120,7 +120,7 @@
     for _ in range(12):
         failed = events.LogReadFailed(now=state.now, stream=streams.MEMBERS)
         reducer.reduce(state, failed)
-        out = builders.passed(state, streams.KEYED_RETRY_MAX_MS + 20.0)
+        out = builders.advance(state, streams.KEYED_RETRY_MAX_MS + 20.0)
         read = [e.stream for e in builders.all_of(out, effects.ReadNewest)]
         assert streams.MEMBERS in read
 
@@ -137,7 +137,7 @@
     gap = events.LogRead(
         now=state.now, stream=stream, first=20, records=(), oldest=20, end=20
     )
-    out = [*reducer.reduce(state, gap), *builders.passed(state, 50.0)]
+    out = [*reducer.reduce(state, gap), *builders.advance(state, 50.0)]
     assert builders.only(out, effects.ReadNewest).stream == stream
 
 
@@ -161,7 +161,7 @@
     known = builders.member("n2", "plans")
     builders.add_members(state, known)
     builders.add_members(state, messages.Member(*_fields(known, gone)))
-    out = builders.passed(state, 2_100.0)
+    out = builders.advance(state, 2_100.0)
     assert any(e.port == 9001 for e in builders.all_of(out, effects.SendGossip))
 
 
--- a/tests/cover/test_malformed_input.py
+++ b/tests/cover/test_malformed_input.py
@@ -41,7 +41,7 @@
     return bytes([len(key)]) + key + value
 
 
-def _good() -> bytes:
+def _valid_record() -> bytes:
     return messages.encode_record(JOIN)
 
 
@@ -52,16 +52,18 @@
     b'{"type": "join"}',
     b'{"type": "join", "node": 7, "incarnation": 5, "host": "10.0.0.8",'
     b' "gossip_port": 7620, "zone": "a", "at": 1}',
-    _good().replace(b"10.0.0.8", b"store.example"),
-    _good().replace(b"7620", b"0"),
-    _good().replace(b"7620", b"99999"),
-    _good().replace(b'"incarnation":5', b'"incarnation":-1'),
-    _good().replace(b'"incarnation":5', b'"incarnation":99999999999999999999999'),
-    _good().replace(b'"node":"n2"', b'"node":""'),
+    _valid_record().replace(b"10.0.0.8", b"store.example"),
+    _valid_record().replace(b"7620", b"0"),
+    _valid_record().replace(b"7620", b"99999"),
+    _valid_record().replace(b'"incarnation":5', b'"incarnation":-1'),
+    _valid_record().replace(
+        b'"incarnation":5', b'"incarnation":99999999999999999999999'
+    ),
+    _valid_record().replace(b'"node":"n2"', b'"node":""'),
 ]
 
 
-class _Answers(store.Store):
+class _ScriptedStore(store.Store):
     """A store whose calls are answered from a list."""
 
     def __init__(self, *contents: bytes) -> None:
@@ -77,26 +79,30 @@
 @pytest.mark.parametrize("bad", BAD_VALUES, ids=repr)
 def test_an_entry_that_cannot_be_read_leaves_the_others_on_its_page(bad: bytes) -> None:
     page = _read_page(
-        _keyed(b"n2", _good()), _keyed(b"n3", bad), _keyed(b"n4", _good())
+        _keyed(b"n2", _valid_record()),
+        _keyed(b"n3", bad),
+        _keyed(b"n4", _valid_record()),
     )
-    records = asyncio.run(_Answers(page).read(MEMBERS, 7))
+    records = asyncio.run(_ScriptedStore(page).read(MEMBERS, 7))
     assert [bool(record) for record in records.contents] == [True, False, True]
 
 
 def test_a_key_that_is_longer_than_its_record_names_nothing() -> None:
-    page = pages.decode_read(_read_page(b"\xffshort", b"", _keyed(b"n2", _good())))
+    page = pages.decode_read(
+        _read_page(b"\xffshort", b"", _keyed(b"n2", _valid_record()))
+    )
     assert [bool(entry.problem) for entry in page.entries] == [True, True, False]
 
 
 def test_reading_goes_on_behind_the_last_whole_record_of_a_cut_page() -> None:
-    records = (_keyed(b"n2", _good()), _keyed(b"n3", _good()))
+    records = (_keyed(b"n2", _valid_record()), _keyed(b"n3", _valid_record()))
     assert len(pages.decode_read(_read_page(*records, cut=9)).entries) == 1
 
 
 @pytest.mark.parametrize("content", [b"", b"short", _read_page(b"abcdef", cut=3)])
 def test_what_is_no_page_is_an_error_that_names_the_step(content: bytes) -> None:
     with pytest.raises(errors.LogServiceError, match="read members"):
-        asyncio.run(_Answers(content).read(MEMBERS, 0))
+        asyncio.run(_ScriptedStore(content).read(MEMBERS, 0))
 
 
 def _newest_page(*items: object, more: bool = False) -> bytes:
@@ -105,7 +111,7 @@
 
 
 def _item(key: object, value: bytes = b"") -> dict[str, object]:
-    content = value or _good()
+    content = value or _valid_record()
     return {"key": key, "value": base64.b64encode(content).decode(), "offset": 3}
 
 
@@ -126,12 +132,12 @@
 @pytest.mark.parametrize("bad", BAD_ITEMS, ids=repr)
 def test_an_item_that_cannot_be_read_leaves_the_others_on_its_page(bad: object) -> None:
     page = _newest_page(_item("n2"), bad, _item("n4"))
-    found = asyncio.run(_Answers(page).newest(MEMBERS))
+    found = asyncio.run(_ScriptedStore(page).newest(MEMBERS))
     assert [bool(content) for content in found.contents] == [True, False, True]
 
 
 def test_pages_go_on_behind_an_item_that_cannot_be_read() -> None:
-    answers = _Answers(
+    answers = _ScriptedStore(
         _newest_page(_item("n2"), {"key": "n3", "value": 5}, more=True),
         _newest_page(_item("n4")),
     )
@@ -141,7 +147,7 @@
 
 
 def test_pages_that_name_no_key_to_go_on_from_end() -> None:
-    answers = _Answers(_newest_page(7, {}, more=True))
+    answers = _ScriptedStore(_newest_page(7, {}, more=True))
     assert len(asyncio.run(answers.newest(MEMBERS)).contents) == 2
 
 
@@ -239,7 +245,7 @@
 )
 
 
-def _mangled(good: object) -> st.SearchStrategy[bytes]:
+def _mutated(good: object) -> st.SearchStrategy[bytes]:
     """Return documents in which one value is replaced."""
     whole = json.dumps(good)
 
@@ -264,7 +270,7 @@
         yield from _spots(inner)
 
 
-@hypothesis.given(_mangled(BEAT) | st.binary(max_size=200))
+@hypothesis.given(_mutated(BEAT) | st.binary(max_size=200))
 @hypothesis.settings(max_examples=300)
 def test_any_report_is_an_announcement_or_the_documented_error(body: bytes) -> None:
     try:
@@ -291,7 +297,7 @@
 }
 
 
-@hypothesis.given(_mangled(CONFIG) | st.binary(max_size=200))
+@hypothesis.given(_mutated(CONFIG) | st.binary(max_size=200))
 @hypothesis.settings(max_examples=300)
 def test_any_configuration_is_put_in_force_or_refused_whole(
     content: bytes,
@@ -306,7 +312,7 @@
     assert state.routes.version in {1, table.version}
 
 
-@hypothesis.given(st.binary(max_size=200) | _mangled(msgspec.to_builtins(JOIN)))
+@hypothesis.given(st.binary(max_size=200) | _mutated(msgspec.to_builtins(JOIN)))
 @hypothesis.settings(max_examples=300)
 def test_any_bytes_are_a_record_or_none(content: bytes) -> None:
     record = messages.decode_record(content)
@@ -329,7 +335,7 @@
         assert all(isinstance(entry, log_service.Entry) for entry in page.entries)
 
 
-@hypothesis.given(_mangled(json.loads(_newest_page(_item("n2"), _item("n3")))))
+@hypothesis.given(_mutated(json.loads(_newest_page(_item("n2"), _item("n3")))))
 @hypothesis.settings(max_examples=200)
 def test_any_listing_is_a_page_or_the_documented_error(content: bytes) -> None:
     with contextlib.suppress(errors.FrameError):
@@ -349,7 +355,7 @@
 }
 
 
-@hypothesis.given(_mangled(BOOT) | st.binary(max_size=200))
+@hypothesis.given(_mutated(BOOT) | st.binary(max_size=200))
 @hypothesis.settings(
     max_examples=200,
     suppress_health_check=[hypothesis.HealthCheck.function_scoped_fixture],
--- a/tests/cover/test_membership.py
+++ b/tests/cover/test_membership.py
@@ -196,7 +196,7 @@
 def test_a_member_suspected_by_own_probes_is_logged_with_that_source() -> None:
     state = builders.node_state()
     builders.add_members(state, builders.member("n2", "plans"))
-    out = builders.passed(state, 8_000)
+    out = builders.advance(state, 8_000)
     lines = [line.text for line in builders.all_of(out, effects.WriteLog)]
     assert [text for text in lines if text.startswith("n2")] == [
         "n2 is suspected, version 1; source: probe timeout.",
--- a/tests/cover/test_order_by_cost.py
+++ b/tests/cover/test_order_by_cost.py
@@ -69,15 +69,19 @@
     )
     builders.add_members(state, builders.member("n2", "tracker"))
     for run in range(10):
-        terms = builders.call_terms(kind="top", trace=f"r{run}")
+        terms = builders.call_metadata(kind="top", trace=f"r{run}")
         reducer.reduce(state, builders.opened(run, terms))
         for call in range(4):
             number = 1_000 + 10 * run + call
             request = f"r{run}.c{call}"
             event = routed.arrived(number, path="/b/x", request=request)
             sent = routed.sent_to(reducer.reduce(state, event))
-            child_report = builders.report(level=1_000, scarce="tracker", slot_ms=30.0)
-            answer = builders.answered(sent.attempt, told=child_report, now=state.now)
+            child_report = builders.report(
+                level=1_000, bottleneck="tracker", bottleneck_slot_ms=30.0
+            )
+            answer = builders.answered(
+                sent.attempt, load_report=child_report, now=state.now
+            )
             reducer.reduce(state, answer)
     state.now += slot_costs.RECOMPUTE_INTERVAL_MS
     report = slot_costs.report_of(state, "top")
@@ -101,9 +105,9 @@
 def test_the_statistics_of_a_kind_are_dropped_with_its_route() -> None:
     state = routed.node_state(routed.route("top"), service="plans")
     sent = routed.sent_to(reducer.reduce(state, routed.arrived(1)))
-    cost_report = builders.report(scarce="tracker", slot_ms=30.0)
+    cost_report = builders.report(bottleneck="tracker", bottleneck_slot_ms=30.0)
     reducer.reduce(
-        state, builders.answered(sent.attempt, told=cost_report, now=state.now)
+        state, builders.answered(sent.attempt, load_report=cost_report, now=state.now)
     )
     assert "top" in state.costs.reported
     assert "top" in state.mean_answer_ms
--- a/tests/cover/test_process_pauses.py
+++ b/tests/cover/test_process_pauses.py
@@ -53,7 +53,7 @@
         state, builders.member("n2", "plans"), builders.member("n3", "plans")
     )
     while not state.membership.probes:
-        builders.passed(state, 10.0)
+        builders.advance(state, 10.0)
     return state
 
 
@@ -65,13 +65,13 @@
     state = _probing()
     _pause(state)
     assert not state.membership.suspected
-    builders.passed(state, membership.SUSPECT_AFTER_MS + timers.GRID_MS)
+    builders.advance(state, membership.SUSPECT_AFTER_MS + timers.GRID_MS)
     assert state.membership.suspected
 
 
 def test_a_member_suspected_before_a_pause_is_not_declared_gone() -> None:
     state = _probing()
-    builders.passed(state, membership.SUSPECT_AFTER_MS + timers.GRID_MS)
+    builders.advance(state, membership.SUSPECT_AFTER_MS + timers.GRID_MS)
     suspected = set(state.membership.suspected)
     _pause(state)
     assert suspected
@@ -87,10 +87,10 @@
 
 def test_the_backend_server_is_still_present_after_a_pause() -> None:
     state = routed.node_state(service="plans")
-    builders.passed(state, 5_000.0)
+    builders.advance(state, 5_000.0)
     _pause(state)
     assert state.backend.present
-    builders.passed(state, 5_000.0 + 2 * timers.GRID_MS)
+    builders.advance(state, 5_000.0 + 2 * timers.GRID_MS)
     assert not state.backend.present
 
 
--- a/tests/cover/test_quarantine.py
+++ b/tests/cover/test_quarantine.py
@@ -89,7 +89,7 @@
 def _open(
     state: states.State, hosted: int, request: int, **terms: object
 ) -> list[effects.Effect]:
-    called = builders.call_terms(fingerprint=request, **terms)
+    called = builders.call_metadata(fingerprint=request, **terms)
     return reducer.reduce(state, builders.opened(hosted, called, now=state.now))
 
 
@@ -259,7 +259,7 @@
     refused = builders.only(_open(home, 1, DEADLY), effects.SendRefusal).refusal
     assert refused.rule == decisions.Rule.QUARANTINED
     assert refused.outcome is messages.Outcome.NOT_RUN
-    builders.passed(home, quarantine.TRIAL_PAUSE_MS + 20.0)
+    builders.advance(home, quarantine.TRIAL_PAUSE_MS + 20.0)
     reducer.reduce(home, routed.announced(sequence=2, now=home.now))
     assert builders.all_of(_open(home, 2, DEADLY), effects.DispatchCall)
     # One trial at a time.
@@ -273,7 +273,7 @@
 def test_a_trial_that_crashes_the_backend_server_makes_the_pause_longer() -> None:
     home = _home_node()
     deliver(home, *(_crash(DEADLY, node=node) for node in ("h1", "h2", "h3")))
-    builders.passed(home, quarantine.TRIAL_PAUSE_MS + 20.0)
+    builders.advance(home, quarantine.TRIAL_PAUSE_MS + 20.0)
     reducer.reduce(home, routed.announced(sequence=2, now=home.now))
     _crash_under(home, 1, DEADLY)
     due = quarantine.trial_due_in(home, DEADLY)
@@ -486,7 +486,7 @@
 
 def test_crashes_with_a_request_in_common_are_sent_on_at_once() -> None:
     state = _entry_node()
-    builders.passed(state, 1_000.0)
+    builders.advance(state, 1_000.0)
     # A first crash is attached to regular messages.
     assert not _sent_crashes(deliver(state, _crash(DEADLY, 100)))
     assert _sent_crashes(deliver(state, _crash(DEADLY, 101, node="h2")))
@@ -517,7 +517,7 @@
     deliver(home, _crash(DEADLY, node="h1"), _crash(DEADLY, node="h2"))
     put = builders.only(_crash_under(home, 1, DEADLY), effects.PutRecord)
     reducer.reduce(home, events.PutFailed(now=home.now, put=put.put))
-    again = builders.all_of(builders.passed(home, 1_200.0), effects.PutRecord)
+    again = builders.all_of(builders.advance(home, 1_200.0), effects.PutRecord)
     assert [e.key for e in again] == [put.key]
 
 
@@ -531,7 +531,7 @@
     reducer.reduce(home, done)
     gossip = msgspec.structs.replace(builders.gossip(), log_epoch=ids.LogEpoch(6))
     reducer.reduce(home, builders.datagram("h1", gossip, now=home.now))
-    again = builders.all_of(builders.passed(home, 1_200.0), effects.PutRecord)
+    again = builders.all_of(builders.advance(home, 1_200.0), effects.PutRecord)
     assert put.key in [e.key for e in again]
 
 
@@ -552,7 +552,7 @@
     if not keyed:
         late = events.AppendDone(now=home.now, append=put.put, offset=0, epoch=before)
     reducer.reduce(home, late)
-    again = builders.all_of(builders.passed(home, 1_200.0), effects.PutRecord)
+    again = builders.all_of(builders.advance(home, 1_200.0), effects.PutRecord)
     assert put.key in [e.key for e in again]
 
 
@@ -590,11 +590,11 @@
     deliver(state, *(_crash(DEADLY, node=node) for node in ("h1", "h2", "h3")))
     deliver(state, _crash(OTHERS[0], node="h4"))
     state.now += quarantine_gossip.CRASH_RETENTION_MS
-    builders.passed(state, 2_000.0)
+    builders.advance(state, 2_000.0)
     assert not state.quarantine.crashes
     assert quarantined(state) == {DEADLY}
     state.now += quarantine_gossip.ENTRY_RETENTION_MS
-    out = builders.passed(state, 2_000.0)
+    out = builders.advance(state, 2_000.0)
     assert quarantined(state) == set()
     # One of the remaining nodes deletes the record.
     assert builders.only(out, effects.PutRecord).record == b""
--- a/tests/cover/test_reducer_properties.py
+++ b/tests/cover/test_reducer_properties.py
@@ -28,7 +28,7 @@
     leaving=st.booleans(),
 )
 METADATA = st.builds(
-    builders.call_terms,
+    builders.call_metadata,
     service=st.just("porting"),
     kind=st.sampled_from(["port-request", "unheard-of"]),
     importance=st.integers(0, 7),
--- a/tests/cover/test_restored_log.py
+++ b/tests/cover/test_restored_log.py
@@ -444,7 +444,7 @@
     reducer.reduce(
         node.state, events.PutDone(now=node.state.now, put=put, epoch=ids.LogEpoch(5))
     )
-    assert not _join_puts(builders.passed(node.state, 3_000.0))
+    assert not _join_puts(builders.advance(node.state, 3_000.0))
     return node
 
 
@@ -452,20 +452,20 @@
 def test_the_own_record_is_written_again_when_the_log_was_restored() -> None:
     node = _joined()
     node.receive_epoch(6)
-    (put,) = _join_puts(builders.passed(node.state, 2_500.0))
+    (put,) = _join_puts(builders.advance(node.state, 2_500.0))
     node.handle(events.PutDone(now=node.state.now, put=put.put, epoch=ids.LogEpoch(6)))
-    assert not _join_puts(builders.passed(node.state, 3_000.0))
+    assert not _join_puts(builders.advance(node.state, 3_000.0))
     node.receive_epoch(7)
-    assert _join_puts(builders.passed(node.state, 2_500.0))
+    assert _join_puts(builders.advance(node.state, 2_500.0))
 
 
 def test_an_acknowledgement_of_an_earlier_epoch_does_not_count() -> None:
     node = _joined()
     node.receive_epoch(6)
-    (put,) = _join_puts(builders.passed(node.state, 2_500.0))
+    (put,) = _join_puts(builders.advance(node.state, 2_500.0))
     node.receive_epoch(7)
     node.handle(events.PutDone(now=node.state.now, put=put.put, epoch=ids.LogEpoch(6)))
-    assert _join_puts(builders.passed(node.state, 2_500.0))
+    assert _join_puts(builders.advance(node.state, 2_500.0))
 
 
 def test_many_nodes_write_their_records_again_over_a_longer_time() -> None:
@@ -482,10 +482,10 @@
 def test_a_departed_node_does_not_rewrite_its_join_record() -> None:
     node = _joined()
     node.handle(events.StopRequested(now=node.state.now))
-    builders.passed(node.state, 2_000.0)
+    builders.advance(node.state, 2_000.0)
     assert node.state.departed
     node.receive_epoch(6)
-    assert not _join_puts(builders.passed(node.state, 1_000.0))
+    assert not _join_puts(builders.advance(node.state, 1_000.0))
 
 
 def test_members_are_not_read_by_all_nodes_when_each_has_written_again() -> None:
@@ -497,7 +497,7 @@
     builders.add_members(node.state, builders.member("m0", "plans"))
     node.state.started_at -= joining.RECENT_START_MS
     node.receive_epoch(6)
-    out = builders.passed(node.state, 2_500.0)
+    out = builders.advance(node.state, 2_500.0)
     (put,) = _join_puts(out)
     out += node.handle(
         events.PutDone(now=node.state.now, put=put.put, epoch=ids.LogEpoch(6))
--- a/tests/cover/test_retry_bound.py
+++ b/tests/cover/test_retry_bound.py
@@ -88,8 +88,8 @@
                 refusal = routed.refused(
                     attempt,
                     rule=decisions.Rule.BACKEND_REFUSED,
-                    arrived_there=True,
-                    room=True,
+                    reached_backend=True,
+                    had_free_slots=True,
                     now=now,
                 )
                 opened = builders.all_of(
--- a/tests/cover/test_retry_rationing.py
+++ b/tests/cover/test_retry_rationing.py
@@ -64,7 +64,9 @@
 def _refused(
     state: states.State, attempt: ids.AttemptId, *, room: bool
 ) -> list[effects.Effect]:
-    refusal = routed.refused(attempt, rule=REFUSED, arrived_there=True, room=room)
+    refusal = routed.refused(
+        attempt, rule=REFUSED, reached_backend=True, had_free_slots=room
+    )
     return reducer.reduce(state, refusal)
 
 
--- a/tests/cover/test_routed_attempts.py
+++ b/tests/cover/test_routed_attempts.py
@@ -36,7 +36,7 @@
 def test_a_call_turned_away_unrun_goes_elsewhere_even_if_unrepeatable() -> None:
     state = _state(kind=routes.RouteType.UNREPEATABLE)
     first = routed.sent_to(reducer.reduce(state, routed.arrived(1)))
-    refusal = routed.refused(first.attempt, rule=FULL, arrived_there=True)
+    refusal = routed.refused(first.attempt, rule=FULL, reached_backend=True)
     again = routed.sent_to(reducer.reduce(state, refusal))
     assert again.node != first.node
 
@@ -46,7 +46,7 @@
     attempt = routed.sent_to(reducer.reduce(state, routed.arrived(1))).attempt
     sent = 1
     while True:
-        refusal = routed.refused(attempt, rule=FULL, arrived_there=True)
+        refusal = routed.refused(attempt, rule=FULL, reached_backend=True)
         out = reducer.reduce(state, refusal)
         if builders.all_of(out, effects.RefuseCall):
             break
@@ -88,7 +88,7 @@
         service="plans",
     )
     builders.add_members(state, builders.member("n2", "porting"))
-    terms = builders.call_terms(importance=3, trace="r1", deadline_ms=300.0)
+    terms = builders.call_metadata(importance=3, trace="r1", deadline_ms=300.0)
     reducer.reduce(state, builders.opened(1, terms))
     out = reducer.reduce(state, routed.arrived(5, path="/b/x", request="r1.c1"))
     child = routed.sent_to(out).metadata
@@ -113,7 +113,7 @@
         out = reducer.reduce(state, routed.arrived(call))
         refused += len(builders.all_of(out, effects.RefuseCall))
     assert 25 < refused < 75
-    terms = builders.call_terms(importance=5, root=1, trace="r1")
+    terms = builders.call_metadata(importance=5, root=1, trace="r1")
     reducer.reduce(state, builders.opened(1, terms))
     out = reducer.reduce(state, routed.arrived(5, request="r1.c1"))
     assert routed.sent_to(out).metadata.root == 1
@@ -148,7 +148,7 @@
         firsts.append(now)
         attempt = opened[0].attempt
         while rejected:
-            refusal = routed.refused(attempt, rule=FULL, arrived_there=True, now=now)
+            refusal = routed.refused(attempt, rule=FULL, reached_backend=True, now=now)
             opened = builders.all_of(
                 reducer.reduce(state, refusal), effects.OpenAttempt
             )
@@ -201,7 +201,7 @@
     state = _state(max_attempts=4)
     state.retry_bound = allowance.Bound(49.0)
     attempt = routed.sent_to(reducer.reduce(state, routed.arrived(1))).attempt
-    refusal = routed.refused(attempt, rule=FULL, arrived_there=True)
+    refusal = routed.refused(attempt, rule=FULL, reached_backend=True)
     assert not builders.all_of(reducer.reduce(state, refusal), effects.OpenAttempt)
 
 
@@ -214,7 +214,7 @@
     )
     builders.add_members(state, builders.member("n2", "porting"))
     for number, repeat in enumerate((False, True)):
-        terms = builders.call_terms(trace=f"r{number}", repeat=repeat)
+        terms = builders.call_metadata(trace=f"r{number}", repeat=repeat)
         reducer.reduce(state, builders.opened(number, terms))
         request = f"r{number}.c"
         call = routed.arrived(10 + number, path="/b/x", request=request)
--- a/tests/cover/test_silent_nodes.py
+++ b/tests/cover/test_silent_nodes.py
@@ -30,9 +30,11 @@
 def test_a_lost_answer_to_an_unrepeatable_call_holds_its_slot_not_for_long() -> None:
     # Guards against services that run out of slots when answers are lost.
     state = routed.node_state(service="porting", slots=1)
-    terms = builders.call_terms(service="porting", repeatable=False, deadline_ms=800.0)
+    terms = builders.call_metadata(
+        service="porting", repeatable=False, deadline_ms=800.0
+    )
     reducer.reduce(state, builders.opened(1, terms))
-    out = builders.passed(state, 800.0 + hosting.UNKEYED_ORPHAN_MS + 50.0)
+    out = builders.advance(state, 800.0 + hosting.UNKEYED_ORPHAN_MS + 50.0)
     refusal = builders.only(out, effects.SendRefusal).refusal
     assert refusal.outcome is messages.Outcome.UNKNOWN
     assert builders.only(out, effects.CancelBackend).hosted == 1
@@ -41,7 +43,7 @@
 
 def test_a_repeatable_call_at_a_silent_node_goes_elsewhere() -> None:
     state, first = _entry(routes.RouteType.SAFE)
-    out = builders.passed(
+    out = builders.advance(
         state, 4 * membership.PROBE_INTERVAL_MS + membership.SUSPECT_AFTER_MS
     )
     again = builders.all_of(out, effects.OpenAttempt)
@@ -72,7 +74,7 @@
     _suspect(state, first.node)
     service = ids.ServiceName("plans")
     assert first.node in upstreams.candidates(state, service)
-    builders.passed(state, upstreams.RECENT_ANSWER_MS + 20.0)
+    builders.advance(state, upstreams.RECENT_ANSWER_MS + 20.0)
     if first.node in state.membership.suspected:
         assert first.node not in upstreams.candidates(state, service)
 
@@ -84,9 +86,9 @@
     builders.add_members(state, *others)
     _suspect_by_silence(state, first.node)
     routing.on_load_report(state, first.node, "lookup", builders.report())
-    out = builders.passed(state, upstreams.RECENT_ANSWER_MS - 20.0)
+    out = builders.advance(state, upstreams.RECENT_ANSWER_MS - 20.0)
     assert not builders.all_of(out, effects.CancelAttempt)
-    out = builders.passed(state, 20.0 + membership.CHECK_INTERVAL_MS + timers.GRID_MS)
+    out = builders.advance(state, 20.0 + membership.CHECK_INTERVAL_MS + timers.GRID_MS)
     assert builders.only(out, effects.CancelAttempt).attempt == first.attempt
 
 
@@ -95,12 +97,12 @@
     state.membership.probe_order = [node]
     while node not in state.membership.suspected:
         routing.on_load_report(state, node, "lookup", builders.report())
-        builders.passed(state, 10.0)
+        builders.advance(state, 10.0)
 
 
 def test_a_probe_that_was_lost_is_repeated_by_the_node_itself() -> None:
     state, _ = _entry(routes.RouteType.SAFE)
-    out = builders.passed(state, 3 * membership.PROBE_INTERVAL_MS)
+    out = builders.advance(state, 3 * membership.PROBE_INTERVAL_MS)
     sent: dict[int, int] = {}
     for effect in builders.all_of(out, effects.SendGossip):
         if effect.message.kind is messages.GossipKind.PING:
@@ -111,7 +113,7 @@
 
 def test_an_unrepeatable_call_at_a_silent_node_waits_for_it() -> None:
     state, _ = _entry(routes.RouteType.UNREPEATABLE)
-    out = builders.passed(
+    out = builders.advance(
         state, 4 * membership.PROBE_INTERVAL_MS + membership.SUSPECT_AFTER_MS
     )
     assert not builders.all_of(out, effects.OpenAttempt)
@@ -122,7 +124,7 @@
     # Guards against requests that are cut off when the process ends.
     state, _ = _entry(routes.RouteType.UNREPEATABLE)
     reducer.reduce(state, events.StopRequested(now=state.now, grace_ms=2_000.0))
-    out = builders.passed(state, 2_000.0 - reducer.GRACE_MARGIN_MS + 20.0)
+    out = builders.advance(state, 2_000.0 - reducer.GRACE_MARGIN_MS + 20.0)
     refusal = builders.only(out, effects.RefuseCall)
     assert refusal.status == 502
     assert refusal.outcome is messages.Outcome.UNKNOWN
--- a/tests/cover/test_startup_waits.py
+++ b/tests/cover/test_startup_waits.py
@@ -29,7 +29,7 @@
 
 def _call_of_a_running_request(state: states.State) -> list[effects.Effect]:
     """Let the backend server, while it runs a request, call the service below."""
-    terms = builders.call_terms(kind="lookup", trace="r1", deadline_ms=900.0)
+    terms = builders.call_metadata(kind="lookup", trace="r1", deadline_ms=900.0)
     reducer.reduce(state, builders.opened(1, terms))
     return reducer.reduce(state, routed.arrived(7, path="/b/x", request="r1.c1"))
 
@@ -40,7 +40,7 @@
     state = _started()
     out = _call_of_a_running_request(state)
     assert not builders.all_of(out, effects.RefuseCall)
-    assert not builders.all_of(builders.passed(state, 500.0), effects.RefuseCall)
+    assert not builders.all_of(builders.advance(state, 500.0), effects.RefuseCall)
     message = builders.gossip(members=(builders.member("n2", "stock"),))
     out = reducer.reduce(state, builders.datagram("n2", message, now=state.now))
     assert routed.sent_to(out).node == "n2"
@@ -51,7 +51,7 @@
     state = _started()
     _call_of_a_running_request(state)
     builders.add_members(state, builders.member("n2", "stock"))
-    out = builders.passed(state, 300.0)
+    out = builders.advance(state, 300.0)
     builders.add_members(state, builders.member("n3", "stock"))
     assert not builders.all_of(out, effects.OpenAttempt)
     assert len(state.attempts) == 1
@@ -59,12 +59,12 @@
 
 def test_a_waiting_call_is_refused_after_its_maximum_wait() -> None:
     state = _started()
-    terms = builders.call_terms(kind="lookup", trace="r1", deadline_ms=4_000.0)
+    terms = builders.call_metadata(kind="lookup", trace="r1", deadline_ms=4_000.0)
     reducer.reduce(state, builders.opened(1, terms))
     reducer.reduce(state, routed.arrived(7, path="/b/x", request="r1.c1"))
-    out = builders.passed(state, startup_waits.DEEP_WAIT_MS - 20.0)
+    out = builders.advance(state, startup_waits.DEEP_WAIT_MS - 20.0)
     assert not builders.all_of(out, effects.RefuseCall)
-    refusal = builders.only(builders.passed(state, CHECK_MS), effects.RefuseCall)
+    refusal = builders.only(builders.advance(state, CHECK_MS), effects.RefuseCall)
     assert refusal.status == 503
     assert not state.waiting_calls
 
@@ -72,9 +72,9 @@
 def test_a_new_request_waits_briefly_and_gets_a_short_retry_delay() -> None:
     state = _started()
     out = reducer.reduce(state, routed.arrived(1, path="/b/x"))
-    out += builders.passed(state, startup_waits.ROOT_WAIT_MS - 20.0)
+    out += builders.advance(state, startup_waits.ROOT_WAIT_MS - 20.0)
     assert not builders.all_of(out, effects.RefuseCall)
-    refusal = builders.only(builders.passed(state, CHECK_MS), effects.RefuseCall)
+    refusal = builders.only(builders.advance(state, CHECK_MS), effects.RefuseCall)
     assert 0 < refusal.retry_after_ms <= TARGET_MS / 2
 
 
@@ -100,6 +100,6 @@
     state = routed.node_state(route)
     state.started_at = state.now
     reducer.reduce(state, routed.arrived(1, path="/b/x"))
-    refusal = builders.only(builders.passed(state, TARGET_MS), effects.RefuseCall)
+    refusal = builders.only(builders.advance(state, TARGET_MS), effects.RefuseCall)
     assert refusal.status == 503
     assert refusal.title == "no upstream"
--- a/tests/cover/test_ticks.py
+++ b/tests/cover/test_ticks.py
@@ -49,7 +49,7 @@
 def test_a_deadline_is_met_within_ten_milliseconds() -> None:
     state = routed.node_state(service="plans", slots=1)
     deadline = state.now + 733.0
-    metadata = builders.call_terms(service="plans", deadline_ms=733.0)
+    metadata = builders.call_metadata(service="plans", deadline_ms=733.0)
     reducer.reduce(state, builders.opened(1, metadata))
     out: list[effects.Effect] = []
     while not builders.all_of(out, effects.SendRefusal):
--- a/tests/nocover/test_deadly_requests_for_real.py
+++ b/tests/nocover/test_deadly_requests_for_real.py
@@ -21,7 +21,7 @@
     return httpx.get(node.entry + path, headers=headers, trust_env=False, timeout=10.0)
 
 
-def _until(holds: collections.abc.Callable[[], bool]) -> None:
+def _wait_until(holds: collections.abc.Callable[[], bool]) -> None:
     deadline = time.monotonic() + WAIT_S
     while not holds():
         assert time.monotonic() < deadline
@@ -32,11 +32,11 @@
     return [n for name, n in cluster.nodes.items() if name.startswith("plans")]
 
 
-def _ended(node: processes.NodeProcess) -> bool:
+def _crashed(node: processes.NodeProcess) -> bool:
     return node.backend is not None and node.backend.poll() is not None
 
 
-def _kept_out(node: processes.NodeProcess) -> list[str]:
+def _quarantined(node: processes.NodeProcess) -> list[str]:
     rows = httpx.get(f"{node.admin}/quarantine", trust_env=False).json()
     return [row["request"] for row in rows]
 
@@ -50,11 +50,11 @@
     # Its two repeats go to the other upstreams.
     answer = _get(entry, DEADLY)
     assert answer.headers["gingerturn-outcome"] == "unknown"
-    assert all(_ended(node) for node in _upstreams(fresh))
+    assert all(_crashed(node) for node in _upstreams(fresh))
     for node in _upstreams(fresh):
         fresh.start_backend(node)
-    _until(lambda: all(_kept_out(node) for node in fresh.nodes.values()))
-    _until(lambda: _get(entry, "/status").status_code == 200)
+    _wait_until(lambda: all(_quarantined(node) for node in fresh.nodes.values()))
+    _wait_until(lambda: _get(entry, "/status").status_code == 200)
 
     refused = _get(entry, DEADLY)
     assert refused.status_code == 503
@@ -64,9 +64,9 @@
         "why", refused.headers["gingerturn-decision"], "--admin", entry.admin
     )
     assert "Quarantined: " in told.stdout
-    assert not any(_ended(node) for node in _upstreams(fresh))
+    assert not any(_crashed(node) for node in _upstreams(fresh))
 
-    (request,) = _kept_out(entry)
+    (request,) = _quarantined(entry)
     shown = command_line._run("quarantine", "show", "--admin", entry.admin)
     assert f"{request}: 3 backend servers ended" in shown.stdout
     other = command_line._run(
@@ -77,7 +77,7 @@
         "quarantine", "clear", request, "--author", "me", "--admin", entry.admin
     )
     assert cleared.returncode == 0
-    _until(lambda: not any(_kept_out(node) for node in fresh.nodes.values()))
+    _wait_until(lambda: not any(_quarantined(node) for node in fresh.nodes.values()))
 
 
 def test_a_killed_backend_server_keeps_nothing_harmless_out(
@@ -90,5 +90,5 @@
             node.backend.kill()
             node.backend.wait(timeout=WAIT_S)
             fresh.start_backend(node)
-            _until(lambda: _get(entry, "/status").status_code == 200)
-    assert not any(_kept_out(node) for node in fresh.nodes.values())
+            _wait_until(lambda: _get(entry, "/status").status_code == 200)
+    assert not any(_quarantined(node) for node in fresh.nodes.values())
--- a/tests/nocover/test_faults_property.py
+++ b/tests/nocover/test_faults_property.py
@@ -41,7 +41,7 @@
     def __init__(self, seed: int) -> None:
         self.world = small.new_world(seed=seed, gossip=True)
         self.truth = small.Truth(self.world)
-        self._watch = self.world.on_root_end
+        self._check_root_end = self.world.on_root_end
         self.world.on_root_end = self._on_end
         self._tries: dict[str, int] = {}
         self._honest: dict[str, bool] = {}
@@ -100,7 +100,7 @@
             self.world.send(root)
 
     def _on_end(self, root: parts.Root) -> None:
-        self._watch(root)
+        self._check_root_end(root)
         if root.answer != "ok" and root.tries < self._tries[root.key] + 1:
             self.world.send(root)
 
--- a/tests/nocover/test_on_platform.py
+++ b/tests/nocover/test_on_platform.py
@@ -51,7 +51,7 @@
         yield made
 
 
-def _ask(
+def _request(
     machine: platform_processes.Machine,
     number: str,
     *,
@@ -79,7 +79,7 @@
 def test_a_request_is_served_from_end_to_end(
     platform: platform_processes.Platform,
 ) -> None:
-    reply = _ask(platform.machines["porting-1"], "q1")
+    reply = _request(platform.machines["porting-1"], "q1")
     assert reply.status_code == 200
     assert reply.content == b"plans /a/x?y=1"
     assert reply.headers["Response-Signature"] == "signed.q1"
@@ -95,7 +95,7 @@
     platform: platform_processes.Platform,
 ) -> None:
     body = bytes(range(256)) * 50
-    reply = _ask(
+    reply = _request(
         platform.machines["plans-1"], "q2", path="/p/", method="POST", content=body
     )
     assert reply.content == body, reply.text
@@ -108,9 +108,9 @@
     moved = {**ROUTE, "service_name": "porting"}
     platform.configure(moved, {**ROUTE, "name": "r-new", "path_prefix": "/n/"})
     for machine in platform.machines.values():
-        platform.wait_until(lambda m=machine: _ask(m, "n1", path="/n/").is_success)
-        assert _ask(machine, "n2").content.startswith(b"porting")
-        assert _ask(machine, "n3", path="/p/").status_code == 404
+        platform.wait_until(lambda m=machine: _request(m, "n1", path="/n/").is_success)
+        assert _request(machine, "n2").content.startswith(b"porting")
+        assert _request(machine, "n3", path="/p/").status_code == 404
 
 
 def test_a_leaving_upstream_gets_no_new_work(
@@ -124,7 +124,7 @@
     before = sum(leaving.counts()["runs"].values())
     for number in range(20):
         for machine in platform.machines.values():
-            assert _ask(machine, f"d{number}.{machine.name}").status_code == 200
+            assert _request(machine, f"d{number}.{machine.name}").status_code == 200
     assert sum(leaving.counts()["runs"].values()) == before
 
 
@@ -132,7 +132,7 @@
     platform: platform_processes.Platform,
 ) -> None:
     platform.machines["porting-1"].tell_upstream(instance="i-other", silent=True)
-    reply = _ask(platform.machines["plans-1"], "m1", path="/p/", method="POST")
+    reply = _request(platform.machines["plans-1"], "m1", path="/p/", method="POST")
     assert reply.status_code == 503
     assert float(reply.headers["Retry-After"]) > 0
     assert _runs(platform, "m1") == 0
@@ -142,7 +142,7 @@
     platform: platform_processes.Platform,
 ) -> None:
     platform.machines["plans-1"].tell_upstream(refuse=True)
-    answers = [_ask(platform.machines["porting-1"], f"f{n}") for n in range(8)]
+    answers = [_request(platform.machines["porting-1"], f"f{n}") for n in range(8)]
     assert all(reply.status_code in {200, 503} for reply in answers)
     assert any(reply.status_code == 200 for reply in answers)
     for number, reply in enumerate(answers):
@@ -155,13 +155,13 @@
     stopping = platform.machines["plans-1"]
     stopping.tell_upstream(work_ms=300)
     with concurrent.futures.ThreadPoolExecutor(8) as pool:
-        asked = [pool.submit(_ask, stopping, f"s{number}") for number in range(8)]
+        asked = [pool.submit(_request, stopping, f"s{number}") for number in range(8)]
         platform.wait_until(
             lambda: sum(_runs(platform, f"s{number}") for number in range(8)) >= 4
         )
         stopping.node.send_signal(signal.SIGTERM)
         platform.wait_until(lambda: not stopping.ready())
-        late = _ask(stopping, "s-late")
+        late = _request(stopping, "s-late")
         assert [reply.result().status_code for reply in asked] == [200] * 8
     assert late.status_code == 200
     assert stopping.node.wait(timeout=10) == 0
@@ -179,7 +179,7 @@
     path.write_text(good)
     machine.node.send_signal(signal.SIGHUP)
     platform.wait_until(lambda: "Settings read again" in platform.log_of("plans-1"))
-    assert _ask(machine, "h1").status_code == 200
+    assert _request(machine, "h1").status_code == 200
 
 
 def test_settings_that_change_without_a_signal_are_noticed(
@@ -192,7 +192,7 @@
     told["bounds"]["retry_budget_slack"] = 7
     path.write_text(json.dumps(told))
     platform.wait_until(lambda: "Settings read again" in platform.log_of("plans-1"))
-    assert _ask(platform.machines["plans-1"], "h2").status_code == 200
+    assert _request(platform.machines["plans-1"], "h2").status_code == 200
 
 
 def _why(made: platform_processes.Platform, wanted: str) -> explain.Story:
@@ -215,7 +215,7 @@
     upstream = platform.machines["porting-1"]
 
     def ask(number: str) -> tuple[int, explain.Line]:
-        reply = _ask(entry, number, path="/p/", method="POST")
+        reply = _request(entry, number, path="/p/", method="POST")
         by_id = _why(platform, number)
         assert by_id == _why(platform, reply.headers["Gingerturn-Decision"])
         assert by_id.cause is not None
@@ -236,7 +236,7 @@
     platform: platform_processes.Platform, tmp_path: pathlib.Path
 ) -> None:
     machine = platform.machines["plans-1"]
-    assert _ask(machine, "st1").status_code == 200
+    assert _request(machine, "st1").status_code == 200
     saved = tmp_path / "page"
     saved.write_text(machine.metrics())
     told = testing.CliRunner().invoke(
@@ -253,7 +253,7 @@
 ) -> None:
     machine = platform.machines["plans-1"]
     for number in range(5):
-        _ask(machine, f"r{number}")
+        _request(machine, f"r{number}")
     machine.node.send_signal(signal.SIGTERM)
     assert machine.node.wait(timeout=10) == 0
     with platform.record_of("plans-1").open("rb") as source:
@@ -274,7 +274,7 @@
     moved = {**ROUTE, "service_name": "porting"}
     _wait_version(platform, platform.configure(moved, PORT))
     for machine in platform.machines.values():
-        assert _ask(machine, f"r-{machine.name}").content.startswith(b"porting")
+        assert _request(machine, f"r-{machine.name}").content.startswith(b"porting")
         assert "gingerturn_log_epoch 2\n" in machine.metrics()
     platform.add("plans-3", service="plans")
     platform.wait_ready()
@@ -291,11 +291,11 @@
 ) -> None:
     platform.fault(down=True)
     for machine in platform.machines.values():
-        assert _ask(machine, f"o.{machine.name}").status_code == 200
+        assert _request(machine, f"o.{machine.name}").status_code == 200
     platform.configure(ROUTE, PORT, {**ROUTE, "name": "r-n", "path_prefix": "/n/"})
     platform.fault(down=False)
     for machine in platform.machines.values():
-        platform.wait_until(lambda m=machine: _ask(m, "o1", path="/n/").is_success)
+        platform.wait_until(lambda m=machine: _request(m, "o1", path="/n/").is_success)
 
 
 def _kill(machine: platform_processes.Machine) -> None:
@@ -315,13 +315,13 @@
     for name, machine in platform.machines.items():
         # The log goes on in the same file: the second start is what is waited for.
         platform.wait_until(lambda n=name: platform.log_of(n).count("is up") == 2)
-        reply = _ask(machine, f"w1.{name}")
+        reply = _request(machine, f"w1.{name}")
         assert reply.status_code == 503
         assert float(reply.headers["Retry-After"]) > 0
         assert not machine.ready()
     platform.fault(down=False)
     platform.wait_ready()
-    assert _ask(platform.machines["plans-1"], "w2").status_code == 200
+    assert _request(platform.machines["plans-1"], "w2").status_code == 200
 
 
 def test_a_node_started_while_the_store_is_away_serves_by_what_its_peers_tell(
@@ -344,11 +344,11 @@
     platform.fault(lose_answers=1)
     platform.add("plans-3", service="plans")
     platform.wait_ready()
-    assert _ask(platform.machines["plans-3"], "l1").status_code == 200
+    assert _request(platform.machines["plans-3"], "l1").status_code == 200
 
 
 def _answers(machine: platform_processes.Machine, status: int) -> bool:
     try:
-        return _ask(machine, "probe").status_code == status
+        return _request(machine, "probe").status_code == status
     except httpx.HTTPError:
         return False
--- a/tests/nocover/test_start_of_a_node.py
+++ b/tests/nocover/test_start_of_a_node.py
@@ -21,26 +21,26 @@
 )
 
 
-def _away(step: str) -> errors.LogServiceError:
+def _unavailable(step: str) -> errors.LogServiceError:
     return errors.LogServiceError("away", step=step, peer="log", took_effect=False)
 
 
-class _NoLog:
+class _UnavailableLog:
     """A log service that is away."""
 
     async def read(
         self, stream: str, offset: int, *, wait: bool = True
     ) -> log_service.Records:
-        raise _away("read")
+        raise _unavailable("read")
 
     async def append(self, stream: str, record: bytes) -> log_service.Appended:
-        raise _away("append")
+        raise _unavailable("append")
 
     async def newest(self, stream: str) -> log_service.Newest:
-        raise _away("newest")
+        raise _unavailable("newest")
 
     async def put(self, stream: str, key: str, record: bytes) -> log_service.Appended:
-        raise _away("put")
+        raise _unavailable("put")
 
     async def close(self) -> None:
         return
@@ -75,7 +75,7 @@
 
 async def _start_between_announcements() -> str:
     *ports, beside = processes.free_ports(4)
-    node = nodes.Node(_settings(*ports), log=_NoLog())
+    node = nodes.Node(_settings(*ports), log=_UnavailableLog())
 
     def handle(request: side_http.Request) -> side_http.Reply:
         sequence = int(request.body)
--- a/tests/nocover/test_workspaces_for_real.py
+++ b/tests/nocover/test_workspaces_for_real.py
@@ -30,7 +30,7 @@
         yield made
 
 
-def _ask(
+def _request(
     machine: platform_processes.Machine, number: str, key: str | None
 ) -> httpx.Response:
     headers = {
@@ -45,7 +45,7 @@
         return client.get(machine.entry + "/a/x", headers=headers)
 
 
-def _everything(platform: platform_processes.Platform) -> bytes:
+def _all_output(platform: platform_processes.Platform) -> bytes:
     """Return all that came out of the nodes."""
     out = b""
     for name, machine in platform.machines.items():
@@ -60,9 +60,9 @@
 ) -> None:
     answers = b""
     for name, machine in platform.machines.items():
-        assert _ask(machine, f"w-{name}", KEY).status_code == 200
+        assert _request(machine, f"w-{name}", KEY).status_code == 200
         for key in (None, "", "marked-key-that-never-was"):
-            refused = _ask(machine, f"x-{name}", key)
+            refused = _request(machine, f"x-{name}", key)
             assert refused.status_code == 401
             answers += refused.content + str(refused.headers).encode()
     seen = [machine.counts()["last"] for machine in platform.machines.values()]
@@ -72,7 +72,7 @@
         assert last["tenant-id"] == "shop"
         assert "key" not in last
     assert b"marked-key" not in answers
-    assert b"marked-key" not in _everything(platform)
+    assert b"marked-key" not in _all_output(platform)
 
 
 def test_a_key_that_is_taken_away_ceases_to_work_and_another_goes_on(
@@ -81,8 +81,8 @@
     machine = platform.machines["porting-1"]
     replaced = {**SHOP, "api_keys": ["marked-key-two"]}
     platform.configure(test_on_platform.ROUTE, workspaces=[replaced, DEPOT])
-    platform.wait_until(lambda: _ask(machine, "k1", KEY).status_code == 401)
-    assert _ask(machine, "k2", "marked-key-two").status_code == 200
+    platform.wait_until(lambda: _request(machine, "k1", KEY).status_code == 401)
+    assert _request(machine, "k2", "marked-key-two").status_code == 200
 
 
 def test_keys_are_closed_while_the_store_is_silent_for_all_and_opened_again(
@@ -91,19 +91,21 @@
     machine = platform.machines["plans-1"]
     platform.fault(silent=True)
     begun = time.monotonic()
-    platform.wait_until(lambda: _ask(machine, "s1", KEY).status_code == 503)
+    platform.wait_until(lambda: _request(machine, "s1", KEY).status_code == 503)
     assert time.monotonic() - begun < platform_processes.REVOKE_MS / 1_000.0
     platform.fault(silent=False)
-    platform.wait_until(lambda: _ask(machine, "s2", KEY).status_code == 200)
+    platform.wait_until(lambda: _request(machine, "s2", KEY).status_code == 200)
 
 
 def test_a_workspace_over_its_cap_is_told_when_to_come_back(
     platform: platform_processes.Platform,
 ) -> None:
     machines = list(platform.machines.values())
-    answers = [_ask(machines[number % 3], f"c{number}", OTHER) for number in range(80)]
+    answers = [
+        _request(machines[number % 3], f"c{number}", OTHER) for number in range(80)
+    ]
     statuses = {answer.status_code for answer in answers}
     assert statuses == {200, 429}
     refused = [answer for answer in answers if answer.status_code == 429]
     assert all(float(answer.headers["Retry-After"]) > 0 for answer in refused)
-    assert _ask(machines[0], "other", KEY).status_code == 200
+    assert _request(machines[0], "other", KEY).status_code == 200
--- a/tests/quality/test_proofs_can_fail.py
+++ b/tests/quality/test_proofs_can_fail.py
@@ -38,7 +38,7 @@
 FOLDER = pathlib.Path(__file__).parents[1] / "scenarios"
 
 
-def _no_classes(patch: pytest.MonkeyPatch) -> None:
+def _without_importance(patch: pytest.MonkeyPatch) -> None:
     original = ranks.rank_of
     patch.setattr(
         ranks,
@@ -49,7 +49,7 @@
     )
 
 
-def _no_claims(patch: pytest.MonkeyPatch) -> None:
+def _without_claims(patch: pytest.MonkeyPatch) -> None:
     """Run a keyed call without winning its claim, as a lease holder would."""
 
     def start(state: states.State, hosted: states.Hosted, out: states.Effects) -> None:
@@ -68,7 +68,7 @@
     patch.setattr(hosting, "start", start)
 
 
-def _loser_runs(patch: pytest.MonkeyPatch) -> None:
+def _run_losing_claims(patch: pytest.MonkeyPatch) -> None:
     """Take one's own claim for the first, whatever came before it."""
 
     def on_record(
@@ -84,10 +84,10 @@
     patch.setattr(claims, "on_record", on_record)
 
 
-def _repeats_not_known(patch: pytest.MonkeyPatch) -> None:
+def _without_repeat_detection(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(replies, "handle_repeat", lambda state, hosted, out: False)
     patch.setattr(hosting, "_handle_known_key", lambda state, hosted, entry, out: False)
-    _no_claims(patch)
+    _without_claims(patch)
 
 
 def _always_not_run(patch: pytest.MonkeyPatch) -> None:
@@ -109,19 +109,19 @@
     patch.setattr(refusals, "messages", _Messages)
 
 
-def _leaving_takes_work(patch: pytest.MonkeyPatch) -> None:
+def _accept_while_leaving(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(hosting, "_unavailable_rule", lambda state, hosted: None)
     patch.setattr("gingerturn.internal.core.membership.push", lambda state, out: None)
 
 
-def _no_levels_and_no_order(patch: pytest.MonkeyPatch) -> None:
+def _without_admission(patch: pytest.MonkeyPatch) -> None:
     """Pass everything through, in the order of arrival."""
     patch.setattr(admission, "has_slot", lambda state: True)
     patch.setattr(hosting, "_worth_starting", lambda state, hosted, out: True)
     patch.setattr(admission, "tree_level", lambda state, kind: ranks.LOWEST)
 
 
-def _one_is_drawn(patch: pytest.MonkeyPatch) -> None:
+def _random_upstream(patch: pytest.MonkeyPatch) -> None:
     """Choose at random, which is the worst case. Where several are weighed, what an
     entry sent itself keeps it from a frozen one, whether or not that is suspected."""
     patch.setattr(routing, "FULL_COMPARISON_LIMIT", 0)
@@ -129,15 +129,15 @@
     patch.setattr(routing, "ANY_ZONE_SAMPLE", 1)
 
 
-def _no_suspicion(patch: pytest.MonkeyPatch) -> None:
-    _one_is_drawn(patch)
+def _without_suspicion(patch: pytest.MonkeyPatch) -> None:
+    _random_upstream(patch)
     patch.setattr(
         "gingerturn.internal.core.membership._suspect", lambda state, node, out: None
     )
     patch.setattr(upstreams, "record_failure", lambda state, node: False)
 
 
-def _stops_at_once(patch: pytest.MonkeyPatch) -> None:
+def _stop_immediately(patch: pytest.MonkeyPatch) -> None:
     """Exit on the first signal, without finishing or lingering."""
 
     def stop(state: states.State, out: states.Effects) -> None:
@@ -150,13 +150,13 @@
 SCENARIOS: list[
     tuple[str, collections.abc.Callable[[pytest.MonkeyPatch], None], str]
 ] = [
-    ("shedding-order", _no_classes, "complete provision"),
-    ("storm", _no_levels_and_no_order, "complete plan-status 17 25"),
-    ("twice-over", _repeats_not_known, "twice"),
-    ("drain-busy", _stops_at_once, "cut plan-status"),
+    ("shedding-order", _without_importance, "complete provision"),
+    ("storm", _without_admission, "complete plan-status 17 25"),
+    ("twice-over", _without_repeat_detection, "twice"),
+    ("drain-busy", _stop_immediately, "cut plan-status"),
     ("pause", _always_not_run, "false_not_run"),
-    ("drain", _leaving_takes_work, "new_work"),
-    ("pause", _no_suspicion, "late plan-status"),
+    ("drain", _accept_while_leaving, "new_work"),
+    ("pause", _without_suspicion, "late plan-status"),
 ]
 
 
@@ -179,14 +179,14 @@
 def test_frozen_nodes_are_passed_over_also_where_one_is_drawn(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    _one_is_drawn(monkeypatch)
+    _random_upstream(monkeypatch)
     assert scenario.play(FOLDER / "pause.scenario") == []
 
 
 def test_the_duplicate_proof_fails_when_a_loser_runs(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    _loser_runs(monkeypatch)
+    _run_losing_claims(monkeypatch)
     assert under_load.run_key_at_two_homes() == 2
 
 
--- a/tests/quality/test_rules_can_be_broken.py
+++ b/tests/quality/test_rules_can_be_broken.py
@@ -75,7 +75,7 @@
     return True
 
 
-def _all_blamed(ends: dict[str, typing.Any]) -> dict[int, states.QuarantineEntry]:
+def _attribute_all(ends: dict[str, typing.Any]) -> dict[int, states.QuarantineEntry]:
     """Blame all that was under way in three ends, whatever explains them."""
     counts = collections.Counter(r for end in ends.values() for r in end.requests)
     return {
@@ -89,37 +89,39 @@
     return decisions.Rule.NO_ROUTE
 
 
-def _unasked_for(state: states.State, asked: float, message: messages.Gossip) -> None:
+def _dated_on_arrival(
+    state: states.State, asked: float, message: messages.Gossip
+) -> None:
     """Take a member's word for as young as its arrival."""
     if message.verified_age_ms >= 0:
         state.freshness.verified_at = state.now - message.verified_age_ms
 
 
-def _answering(state: states.State) -> int:
+def _reachable_count(state: states.State) -> int:
     """Count those members only that can be reached."""
     view = state.membership
     return max(1, len(view.members) - len(view.gone) - len(view.suspected))
 
 
-def _all_lent(state: states.State) -> float:
+def _full_share(state: states.State) -> float:
     return 1.0
 
 
-def _nobodys(*arguments: typing.Any) -> None:
+def _without_workspace(*arguments: typing.Any) -> None:
     """Let a request in without a look at its key."""
 
 
-def _any_table(state: typing.Any, table: typing.Any, out: typing.Any) -> bool:
+def _activate_any(state: typing.Any, table: typing.Any, out: typing.Any) -> bool:
     state.routes = of_routes.routes.RouteIndex(table)
     return True
 
 
-OUT: list[tuple[str, typing.Any, typing.Any, object, Proof]] = [
+MECHANISMS: list[tuple[str, typing.Any, typing.Any, object, Proof]] = [
     (
         "UNASKED: whose a request is",
         workspaces,
         "of_request",
-        _nobodys,
+        _without_workspace,
         of_workspaces.test_a_request_runs_for_the_workspace_of_its_key,
     ),
     (
@@ -133,7 +135,7 @@
         "ROUTE: a key that never was",
         workspaces,
         "of_request",
-        _nobodys,
+        _without_workspace,
         functools.partial(
             of_workspaces.test_a_key_that_no_workspace_has_is_refused_before_any_work,
             "never",
@@ -150,7 +152,7 @@
         "CONFIG: words that were under way",
         freshness,
         "on_peer_age",
-        _unasked_for,
+        _dated_on_arrival,
         fresh.test_an_answer_is_dated_by_its_query_however_late_it_arrives,
     ),
     (
@@ -178,7 +180,7 @@
         "QUOTA: parted sides",
         member_order,
         "cap_sharer_count",
-        _answering,
+        _reachable_count,
         functools.partial(
             of_caps.test_sides_of_a_partition_hold_the_cap_under_a_flood,
             1,
@@ -188,7 +190,7 @@
         "QUOTA: several keepers",
         cap_allocator,
         "current_share",
-        _all_lent,
+        _full_share,
         of_caps.check_cap_with_several_allocators,
     ),
     (
@@ -258,7 +260,7 @@
         "CONFIG, never back",
         route_table,
         "activate",
-        _any_table,
+        _activate_any,
         of_routes.test_the_version_in_force_never_goes_down,
     ),
     (
@@ -303,7 +305,7 @@
         "what another request explains is not kept out",
         crash_attribution,
         "attribute_crashes",
-        _all_blamed,
+        _attribute_all,
         of_quarantine.test_a_harmless_request_retried_into_three_crashes_is_not_quarantined,
     ),
     (
@@ -416,8 +418,8 @@
 
 @pytest.mark.parametrize(
     ("owner", "name", "replacement", "proof"),
-    [row[1:] for row in OUT],
-    ids=[row[0] for row in OUT],
+    [row[1:] for row in MECHANISMS],
+    ids=[row[0] for row in MECHANISMS],
 )
 def test_a_proof_fails_without_its_mechanism(
     monkeypatch: pytest.MonkeyPatch,
