--- a/tests/common/builders.py
+++ b/tests/common/builders.py
@@ -1,4 +1,4 @@
-"""Builders of states and events for tests."""
+"""Builders of node states, events and messages for tests."""
 
 import os
 import typing
@@ -18,7 +18,7 @@
 E = typing.TypeVar("E", bound=effects.Effect)
 
 START = 1_800_000_000_000.0
-"""Start time of the clocks in tests, in ms; a time in 2027."""
+"""Initial time of the clocks in tests, in ms since the Unix epoch."""
 
 DOCUMENT = """
 [[importance]]
@@ -57,7 +57,7 @@
 
 
 def settings(name: str = "n1", *, zone: str = "bne-a") -> settings_module.Settings:
-    """Return the settings of a node that is never started."""
+    """Return settings for a node that the test does not start."""
     return settings_module.Settings(
         node=settings_module.Node(
             id=name,
@@ -92,7 +92,7 @@
 def node_state(
     name: str = "n1", *, service: str = "", slots: int = 4, now: float = START
 ) -> states.State:
-    """Return a node with the configuration in force, some time after its start."""
+    """Return a node with the configuration in force and its startup period over."""
     state = reducer.new_state(started(name, now=now))
     reducer.reduce(state, started(name, now=now))
     state.started_at = now - startup_waits.STARTUP_MS
@@ -182,7 +182,7 @@
 
 
 def call_metadata(**changes: object) -> messages.CallMetadata:
-    """Return the metadata of a plain lookup."""
+    """Return the metadata of a repeatable lookup without a key."""
     fields: dict[str, object] = {
         "service": "plans",
         "kind": "plan-status",
@@ -246,7 +246,7 @@
     size: int = 0,
     now: float = START,
 ) -> events.AttemptAnswered:
-    """Return an upstream's answer."""
+    """Return an upstream's answer to an attempt."""
     return events.AttemptAnswered(
         now=now,
         attempt=ids.AttemptId(attempt),
@@ -278,7 +278,10 @@
 
 
 def key_at(now: float, *, number: int | None = None) -> str:
-    """Return a UUIDv7 issued at a time; the same number gives the same key."""
+    """Return a UUIDv7 issued at a time.
+
+    :param number: the random bits of the key; they are drawn where it is None.
+    """
     low = int.from_bytes(os.urandom(7)) if number is None else number
     return str(uuid.UUID(int=(int(now) << 80) | (7 << 76) | (2 << 62) | low))
 
@@ -296,7 +299,7 @@
 
 
 def advance(state: states.State, duration: float) -> list[effects.Effect]:
-    """Advance time by ticks, and return every effect."""
+    """Advance time in ticks of 10 ms and return every effect."""
     out: list[effects.Effect] = []
     end = state.now + duration
     while state.now < end:
--- a/tests/common/keyed.py
+++ b/tests/common/keyed.py
@@ -1,4 +1,4 @@
-"""Short ways to nodes whose callers carry API keys."""
+"""Builders for nodes whose callers authenticate with API keys."""
 
 import msgspec
 
@@ -13,7 +13,7 @@
 from tests.common import builders, routed
 
 REVOKE_MS = 5_000.0
-"""Operators want a key that was taken away to cease to work within this time."""
+"""Time within which a revoked key must be refused, in ms."""
 
 
 def workspace(
@@ -23,7 +23,7 @@
     rate: float = 0.0,
     burst: float = 0.0,
 ) -> routes.Workspace:
-    """Return a workspace; its one key is its name unless others are given."""
+    """Return a workspace; its only key is its name unless keys are given."""
     return routes.workspace(
         name, keys or (name,), priority=priority, rate=rate, burst=burst
     )
@@ -49,11 +49,11 @@
     revoke_ms: float = 0.0,
     upstream: bool = True,
 ) -> states.State:
-    """Return a node with a table of workspaces in force that was just proven."""
-    begin = msgspec.structs.replace(routed.started(name), revoke_ms=revoke_ms)
-    state = reducer.new_state(begin)
-    reducer.reduce(state, begin)
-    state.started_at = begin.now - 10_000.0
+    """Return a node with a table of workspaces in force that was just verified."""
+    start = msgspec.structs.replace(routed.started(name), revoke_ms=revoke_ms)
+    state = reducer.new_state(start)
+    reducer.reduce(state, start)
+    state.started_at = start.now - 10_000.0
     record = table(*workspaces, listed=listed)
     prove(state, record)
     if upstream:
@@ -66,7 +66,7 @@
     *tables: routes.RouteTable,
     requested_at: float | None = None,
 ) -> None:
-    """Let a node read the newest of the log."""
+    """Deliver a base read of the route stream to a node."""
     reducer.reduce(
         state,
         events.NewestRead(
@@ -87,7 +87,7 @@
     request: str = "",
     now: float = builders.START,
 ) -> events.CallArrived:
-    """Return the arrival of a request with a key; none where it is empty."""
-    plain = routed.arrived(call, path=path, request=request, now=now)
+    """Return the arrival of a request; an empty key sends none."""
+    event = routed.arrived(call, path=path, request=request, now=now)
     digest = routes.key_digest(key.encode()) if key else ""
-    return msgspec.structs.replace(plain, key_digest=digest)
+    return msgspec.structs.replace(event, key_digest=digest)
--- a/tests/common/routed.py
+++ b/tests/common/routed.py
@@ -1,4 +1,4 @@
-"""Short ways to routed states: a route table in force, and announcements."""
+"""Builders for nodes with a route table in force."""
 
 import msgspec
 
@@ -49,7 +49,7 @@
 def started(
     name: str = "n1", *, retry_bound: allowance.Bound | None = None
 ) -> events.Started:
-    """Return the start of a routed node."""
+    """Return the start event of a node with a route table."""
     return msgspec.structs.replace(
         builders.started(name),
         routed=True,
@@ -66,12 +66,12 @@
     slots: int = 4,
     retry_bound: allowance.Bound | None = None,
 ) -> states.State:
-    """Return a node with a route table in force, some time after its start."""
-    begin = started(name, retry_bound=retry_bound)
-    state = reducer.new_state(begin)
-    reducer.reduce(state, begin)
-    state.started_at = begin.now - startup_waits.STARTUP_MS
-    reducer.reduce(state, events.RoutesReceived(now=begin.now, table=table(*listed)))
+    """Return a node with a route table in force and its startup period over."""
+    start = started(name, retry_bound=retry_bound)
+    state = reducer.new_state(start)
+    reducer.reduce(state, start)
+    state.started_at = start.now - startup_waits.STARTUP_MS
+    reducer.reduce(state, events.RoutesReceived(now=start.now, table=table(*listed)))
     if service:
         reducer.reduce(state, announced(service, slots=slots))
     return state
@@ -108,16 +108,19 @@
     now: float = builders.START,
     timeout_ms: float = 5_000,
 ) -> events.CallArrived:
-    """Return the arrival of a request by host and path; its id tells its parent."""
-    own = request or f"r{call}"
+    """Return the arrival of a request by host and path.
+
+    :param request: id of the request; the part before its last dot names its parent.
+    """
+    request_id = request or f"r{call}"
     return events.CallArrived(
         now=now,
         call=ids.CallId(call),
         service=ids.ServiceName(host),
         method="GET",
         path=path,
-        trace=own,
-        span=ids.SpanId(own.rpartition(".")[0] or own),
+        trace=request_id,
+        span=ids.SpanId(request_id.rpartition(".")[0] or request_id),
         timeout_ms=timeout_ms,
     )
 
@@ -149,5 +152,5 @@
 
 
 def sent_to(out: list[effects.Effect]) -> effects.OpenAttempt:
-    """Return the one attempt that was opened."""
+    """Return the only attempt that was opened."""
     return builders.only(out, effects.OpenAttempt)
--- a/tests/common/scenario.py
+++ b/tests/common/scenario.py
@@ -1,7 +1,7 @@
-"""The small test language: load, faults and what is expected of them.
+"""Language of the scenarios: load, faults and expectations.
 
-One statement a line; times are seconds of the fake clock. See the grammar, and
-``tests/scenarios`` for examples.
+Each line is one statement; times are in seconds of the fake clock. Examples are in
+``tests/scenarios``.
 """
 
 import collections.abc
@@ -60,7 +60,7 @@
 
 @dataclasses.dataclass
 class Sent:
-    """A root and when it was first sent, in seconds."""
+    """A root request, the time of its first sending in seconds, and its answers."""
 
     kind: str
     at: float
@@ -71,9 +71,9 @@
 
 
 class Player:
-    """Plays one scenario on the fakes and checks what it expects.
+    """Runs one scenario on the fakes and checks its expectations.
 
-    :param path: the scenario's file.
+    :param path: path of the scenario.
     """
 
     def __init__(self, path: pathlib.Path) -> None:
@@ -97,7 +97,7 @@
         self._number = 0
 
     def play(self) -> list[str]:
-        """Play it; return each expectation that was not met."""
+        """Run the scenario and return the expectations that were not met."""
         failures = []
         for statement in self._tree.children:
             arguments = list(statement.children)
@@ -116,7 +116,7 @@
     # Statements.
 
     def _do_gossip(self, *arguments: object) -> None:
-        """Taken in before the start."""
+        """Do nothing: the statement is evaluated before the start."""
 
     def _do_load(self, kind: str, rate: str) -> None:
         self._offer(str(kind), float(rate), 0.0, float("inf"))
@@ -193,7 +193,7 @@
     def _nodes(self, service: str) -> list[parts.FakeNode]:
         return [n for n in self.world.nodes.values() if n.backend.spec.name == service]
 
-    # What is seen.
+    # Observations.
 
     def _on_end(self, root: parts.Root) -> None:
         self._check_root_end(root)
@@ -213,18 +213,18 @@
         elif isinstance(effect, effects.OpenAttempt):
             self._opened.append((self._seconds, str(effect.node)))
         elif isinstance(effect, effects.Stopped):
-            # The process exits, whatever is still under way to it or in it.
+            # The process exits even if messages to it or work in it are in progress.
             self.world.at(0.0, lambda: self.world.kill(node.name))
 
     # Expectations.
 
-    def _check(self, measure: lark.Tree, compare: str, wanted: str) -> str:
+    def _check(self, measure: lark.Tree, compare: str, expected: str) -> str:
         arguments = [None if a is None else str(a) for a in measure.children]
-        found: float = getattr(self, f"_get_{measure.data}")(*arguments)
-        if _COMPARE[str(compare)](found, float(wanted)):
+        value: float = getattr(self, f"_get_{measure.data}")(*arguments)
+        if _COMPARE[str(compare)](value, float(expected)):
             return ""
         name = " ".join([measure.data, *[a for a in arguments if a]])
-        return f"{name} is {found:.4f}, expected {compare} {wanted}"
+        return f"{name} is {value:.4f}, expected {compare} {expected}"
 
     def _get_complete(
         self, kind: str, begin: str | None = None, end: str | None = None
@@ -282,5 +282,5 @@
 
 
 def play(path: pathlib.Path) -> list[str]:
-    """Play a scenario; return each expectation that was not met."""
+    """Run a scenario and return the expectations that were not met."""
     return Player(path).play()
--- a/tests/common/small.py
+++ b/tests/common/small.py
@@ -1,4 +1,4 @@
-"""A small graph for scenarios: the shape of Brolga's, a few slots each."""
+"""A small service graph for scenarios: three services with a few slots each."""
 
 import uuid
 
@@ -68,7 +68,7 @@
 
 
 def new_world(*, seed: int = 1, gossip: bool = False) -> world.World:
-    """Return the small graph, started."""
+    """Return a started world with the small graph."""
     made = world.World(
         seed=seed,
         services=[
@@ -98,14 +98,14 @@
 
 
 def key_of(made: world.World, number: int) -> str:
-    """Return a UUIDv7 of the present time of a world."""
+    """Return a UUIDv7 issued at the current time of a world."""
     return str(uuid.UUID(int=(int(made.now) << 80) | (7 << 76) | (2 << 62) | number))
 
 
 class Truth:
-    """Holds answers against what was executed.
+    """Compares the answers of callers with the executions of backend servers.
 
-    :param made: the world to watch; its hooks are taken over.
+    :param made: the world to observe; its hooks are replaced.
     """
 
     def __init__(self, made: world.World) -> None:
@@ -121,12 +121,12 @@
 
     @property
     def twice(self) -> list[str]:
-        """Keys that were executed more than once."""
+        """Return the keys that were executed more than once."""
         return [key for key, count in self._run_keys.items() if count > 1]
 
     @property
     def run_keys(self) -> set[str]:
-        """Keys that were executed."""
+        """Return the keys that were executed."""
         return set(self._run_keys)
 
     def _on_execution(self, node: parts.FakeNode, work: parts.Work) -> None:
@@ -135,13 +135,13 @@
         self._run_roots.add((node.backend.spec.name, work.root))
 
     def _on_arrival(self, root: parts.Root, root_hash: int | None) -> None:
-        # A sending that was refused at once has a hash that no other one had.
+        # A request that was refused on arrival has no root hash: -1 matches none.
         self._hashes[root.id] = -1 if root_hash is None else root_hash
 
     def _on_end(self, root: parts.Root) -> None:
         self.answers.append(root)
         if root.answer != "not-run":
             return
-        place = (root.kind.service, self._hashes.get(root.id, -1))
-        if root.key in self._run_keys or place in self._run_roots:
+        execution = (root.kind.service, self._hashes.get(root.id, -1))
+        if root.key in self._run_keys or execution in self._run_roots:
             self.false_not_run.append(root)
--- a/tests/common/transports.py
+++ b/tests/common/transports.py
@@ -1,8 +1,8 @@
-"""A transport that keeps what is written to it."""
+"""A fake transport that records what is written to it."""
 
 
 class Transport:
-    """Keeps what is written."""
+    """Records the written bytes and whether it was closed."""
 
     def __init__(self) -> None:
         self.written = bytearray()
@@ -24,6 +24,6 @@
         return None if name == "socket" else ("127.0.0.1", 1)
 
     def pause_reading(self) -> None:
-        """Nothing is read here anyway."""
+        """Do nothing: this transport never reads."""
 
     resume_reading = pause_reading
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings for all tests: seeded Hypothesis, and the list of known failures."""
+"""Configuration of all tests: Hypothesis profile and known failures."""
 
 import pathlib
 
@@ -18,7 +18,7 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Expect exactly the listed tests to fail; one that passes fails the run."""
+    """Mark the tests of KNOWN-RED.txt as strict expected failures."""
     listed = known_red.read(ROOT / "KNOWN-RED.txt")
     found = set()
     for item in items:
@@ -26,7 +26,7 @@
             found.add(item.nodeid)
             reason = listed[item.nodeid]
             item.add_marker(pytest.mark.xfail(strict=True, reason=reason))
-    whole_run = len({item.path for item in items}) > 1
+    multiple_files = len({item.path for item in items}) > 1
     unknown = sorted(set(listed) - found)
-    if whole_run and unknown:
+    if multiple_files and unknown:
         raise pytest.UsageError(f"KNOWN-RED.txt names unknown tests: {unknown}")
