--- a/tests/cover/test_malformed_input.py
+++ b/tests/cover/test_malformed_input.py
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.parametrize("content", [b"", b"short", _read_page(b"abcdef", cut=3)])
-def test_what_is_no_page_is_an_error_that_names_the_step(content: bytes) -> None:
+def test_an_invalid_page_is_an_error_that_names_the_step(content: bytes) -> None:
     with pytest.raises(errors.LogServiceError, match="read members"):
         asyncio.run(_ScriptedStore(content).read(MEMBERS, 0))
 
@@ -151,7 +151,7 @@
     assert len(asyncio.run(answers.newest(MEMBERS)).contents) == 2
 
 
-def test_bytes_that_are_no_text_spoil_one_item() -> None:
+def test_invalid_utf_8_invalidates_one_item() -> None:
     page = _newest_page(_item("n2"), _item("nX")).replace(b"nX", b"n\xff")
     assert len(pages.decode_newest(page).entries) == 2
 
@@ -245,21 +245,23 @@
 )
 
 
-def _mutated(good: object) -> st.SearchStrategy[bytes]:
-    """Return documents in which one value is replaced."""
-    whole = json.dumps(good)
+def _mutated(document: object) -> st.SearchStrategy[bytes]:
+    """Return documents with one value replaced."""
+    whole = json.dumps(document)
 
     def put(place: int, value: object) -> bytes:
         found = json.loads(whole)
-        spots = list(_spots(found))
-        holder, name = spots[place % len(spots)]
+        locations = list(_locations(found))
+        holder, name = locations[place % len(locations)]
         holder[name] = value
         return json.dumps(found).encode()
 
     return st.builds(put, st.integers(0, 99), JSON)
 
 
-def _spots(value: typing.Any) -> collections.abc.Iterator[tuple[typing.Any, object]]:
+def _locations(
+    value: typing.Any,
+) -> collections.abc.Iterator[tuple[typing.Any, object]]:
     items: collections.abc.Iterable[tuple[object, object]] = ()
     if isinstance(value, dict):
         items = value.items()
@@ -267,7 +269,7 @@
         items = enumerate(value)
     for name, inner in items:
         yield value, name
-        yield from _spots(inner)
+        yield from _locations(inner)
 
 
 @hypothesis.given(_mutated(BEAT) | st.binary(max_size=200))
@@ -318,10 +320,10 @@
     record = messages.decode_record(content)
     if isinstance(record, messages.JoinRecord):
         state = routed.node_state()
-        told = events.NewestRead(
+        newest = events.NewestRead(
             now=state.now, stream=MEMBERS, end=1, records=(content,)
         )
-        reducer.reduce(state, told)
+        reducer.reduce(state, newest)
 
 
 @hypothesis.given(st.binary(max_size=200) | st.binary(max_size=60).map(_read_page))
--- a/tests/cover/test_process_pauses.py
+++ b/tests/cover/test_process_pauses.py
@@ -1,7 +1,7 @@
 """Pauses of a process or its machine.
 
-Guards against timeouts that expire for other nodes during a pause, and deadlines of
-callers that do not, as with a migrated virtual machine whose monotonic clock stops.
+Guards against a pause that makes a node suspect other members, and against callers'
+deadlines that do not expire while a virtual machine is suspended.
 """
 
 import time
@@ -29,16 +29,16 @@
 ) -> None:
     before = clock.now()
     real = time.clock_gettime
-    stood_s = SUSPENDED_MS / 1000.0
+    suspended_s = SUSPENDED_MS / 1000.0
 
-    def after(which: int) -> float:
-        return real(which) + (stood_s if which == time.CLOCK_BOOTTIME else 0.0)
+    def clock_gettime(which: int) -> float:
+        return real(which) + (suspended_s if which == time.CLOCK_BOOTTIME else 0.0)
 
-    monkeypatch.setattr(time, "clock_gettime", after)
+    monkeypatch.setattr(time, "clock_gettime", clock_gettime)
     assert clock.now() - before >= SUSPENDED_MS
 
 
-def test_a_correction_of_the_wall_clock_moves_nothing(
+def test_a_wall_clock_step_does_not_affect_the_clock(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     before = clock.now()
@@ -78,7 +78,7 @@
     assert not suspected & set(state.membership.gone)
 
 
-def test_callers_deadlines_have_passed_meanwhile() -> None:
+def test_deadlines_of_callers_expire_during_a_pause() -> None:
     state = _probing()
     reducer.reduce(state, routed.arrived(1, now=state.now))
     out = _pause(state)
--- a/tests/cover/test_recordings_keep_their_format.py
+++ b/tests/cover/test_recordings_keep_their_format.py
@@ -1,7 +1,6 @@
-"""Recordings and datagrams keep their bytes when a class or a field is renamed.
+"""Encoding of recordings and datagrams stays compatible with earlier versions.
 
-The expected bytes were written before events, effects and messages got their present
-names. Structs are encoded as arrays, so only tags and the order of fields count.
+Structs are encoded as arrays, so only tags and the order of fields matter.
 """
 
 import io
--- a/tests/cover/test_reducer_properties.py
+++ b/tests/cover/test_reducer_properties.py
@@ -233,11 +233,11 @@
     used: set[tuple[type, int]] = set()
     for step, kind, values in steps:
         now += step
-        fresh = values.get("call") if kind is events.CallArrived else None
-        fresh = values.get("hosted") if kind is events.OpenReceived else fresh
-        if fresh is not None and (kind, fresh) in used:
+        new_id = values.get("call") if kind is events.CallArrived else None
+        new_id = values.get("hosted") if kind is events.OpenReceived else new_id
+        if new_id is not None and (kind, new_id) in used:
             continue
-        used.add((kind, fresh))
+        used.add((kind, new_id))
         event = kind(now=now, **values)
         played.append(event)
         out.append(reducer.reduce(state, event))
@@ -292,7 +292,7 @@
 
 @hypothesis.given(st.lists(STEPS, max_size=60))
 @hypothesis.settings(max_examples=150)
-def test_a_key_is_handed_over_at_most_once_unless_nothing_was_written(
+def test_a_key_is_dispatched_at_most_once_unless_nothing_was_written(
     steps: list,
 ) -> None:
     _, played, out = _play(steps)
@@ -325,15 +325,15 @@
     state = reducer.new_state(first)
     target = io.BytesIO()
     recorder = trace.Recorder(target)
-    wanted = []
+    expected = []
     for event in [first, *[kind(now=now + s, **v) for s, kind, v in steps]]:
         recorder.record(event)
-        wanted.append(trace.encode_effects(reducer.reduce(state, event)))
+        expected.append(trace.encode_effects(reducer.reduce(state, event)))
     target.seek(0)
     replayed = [
         trace.encode_effects(out) for _, out in trace.replay(trace.read(target))
     ]
-    assert replayed == wanted
+    assert replayed == expected
     again = reducer.new_state(first)
     target.seek(0)
     for event in trace.read(target):
--- a/tests/cover/test_ticks.py
+++ b/tests/cover/test_ticks.py
@@ -26,7 +26,7 @@
     return ticks, out
 
 
-def test_a_node_at_rest_ticks_seldom() -> None:
+def test_an_idle_node_ticks_rarely() -> None:
     # Guards against ticks at the minimum interval with nothing due.
     state = routed.node_state(service="plans")
     ticks, _ = _tick(state, until=state.now + 10_000.0)
@@ -57,7 +57,7 @@
     assert deadline <= state.now <= deadline + timers.TICK_MS
 
 
-def test_a_stream_is_read_on_at_once_by_a_node_that_waits_for_it() -> None:
+def test_a_polling_node_reads_the_next_offset_at_once() -> None:
     state = routed.node_state()
     # No member could notify it of a change, so it polls the log.
     pollers.check(state, state.now, [])
@@ -73,10 +73,10 @@
     assert following.stream == streams.ROUTES
 
 
-def test_a_failed_read_is_tried_again_when_its_pause_is_over() -> None:
+def test_a_failed_read_is_retried_after_its_delay() -> None:
     state = routed.node_state()
     reducer.reduce(state, events.LogReadFailed(now=state.now, stream=streams.ROUTES))
-    again = state.streams[streams.ROUTES].retry_at
-    _, out = _tick(state, until=again + timers.TICK_MS)
+    retry_at = state.streams[streams.ROUTES].retry_at
+    _, out = _tick(state, until=retry_at + timers.TICK_MS)
     read = [e.stream for e in builders.all_of(out, effects.ReadNewest)]
     assert streams.ROUTES in read
--- a/tests/quality/test_completeness.py
+++ b/tests/quality/test_completeness.py
@@ -1,4 +1,4 @@
-"""Everything that the core can say is carried out; every frame has a codec."""
+"""Completeness: each event and each effect of the core has a handler."""
 
 import typing
 
@@ -9,20 +9,20 @@
 
 
 def test_every_event_has_a_handler() -> None:
-    wanted = set(typing.get_args(events.AnyEvent))
-    assert wanted == set(reducer._HANDLERS)
-    assert wanted == set(events.Event.__subclasses__())
+    expected = set(typing.get_args(events.AnyEvent))
+    assert expected == set(reducer._HANDLERS)
+    assert expected == set(events.Event.__subclasses__())
 
 
 def test_every_effect_is_carried_out_by_the_shell() -> None:
-    # AskLevel once had no handler: the node broke the peer's connection instead.
+    # Guards against an effect without a handler, which breaks a peer's connection.
     settings = builders.settings()
     handled = set(nodes.Node(settings)._handlers)
     assert handled == set(typing.get_args(effects.AnyEffect))
 
 
-def test_the_fakes_pass_over_only_what_they_say() -> None:
-    passed_over = {
+def test_the_fakes_handle_all_but_the_listed_effects() -> None:
+    ignored = {
         effects.StoreAnswer,
         effects.DeleteStoredAnswer,
         effects.FetchSnapshot,
@@ -31,5 +31,5 @@
         effects.LogDecision,
         effects.Stopped,
     }
-    known = set(world._HANDLERS) | passed_over
-    assert known == set(typing.get_args(effects.AnyEffect))
+    accounted_for = set(world._HANDLERS) | ignored
+    assert accounted_for == set(typing.get_args(effects.AnyEffect))
--- a/tests/quality/test_known_red.py
+++ b/tests/quality/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures: read strictly, three lines at most."""
+"""Tests of the list of known failures and its strictness."""
 
 import pathlib
 
@@ -35,7 +35,7 @@
     root = pathlib.Path(__file__).parents[2]
     pytester.makeconftest((root / "tests" / "conftest.py").read_text())
     monkeypatch.setenv("PYTHONPATH", str(root))
-    # The list stands one folder above the tests' own folder.
+    # conftest.py reads the list from the parent folder of the tests.
     listed = pytester.path.parent / "KNOWN-RED.txt"
     listed.write_text("test_it.py::test_fine | no cause | issue 0\n")
     pytester.makepyfile(test_it="def test_fine():\n    pass\n")
--- a/tests/quality/test_platform_boundary.py
+++ b/tests/quality/test_platform_boundary.py
@@ -1,4 +1,4 @@
-"""The platform's names stay in its folder, which is small and decides nothing."""
+"""Boundary of the platform adapter: its names, size and imports."""
 
 import ast
 import pathlib
@@ -6,7 +6,7 @@
 
 ROOT = pathlib.Path(__file__).parents[2]
 ADAPTER = ROOT / "platform"
-MOST_LINES = 700
+MAX_LINES = 700
 
 WORDS = (
     "route_type",
@@ -43,7 +43,7 @@
 
 
 def platform_words_in(text: str) -> list[str]:
-    """Return the platform's names that stand in a text."""
+    """Return the names of the platform that occur in a text."""
     return [
         word
         for word in WORDS
@@ -51,25 +51,25 @@
     ]
 
 
-def test_nothing_outside_the_folder_knows_the_names_of_the_platform() -> None:
-    found = {
+def test_nothing_outside_the_adapter_contains_names_of_the_platform() -> None:
+    occurrences = {
         str(path): words
         for path in (ROOT / "src").rglob("*.py")
         if (words := platform_words_in(path.read_text()))
     }
-    assert not found
+    assert not occurrences
 
 
-def test_that_check_finds_a_name() -> None:
+def test_the_search_finds_a_name() -> None:
     assert platform_words_in("x = told['traffic_split']") == ["traffic_split"]
 
 
-def test_the_folder_is_small() -> None:
+def test_the_adapter_is_small() -> None:
     lines = sum(len(path.read_text().splitlines()) for path in ADAPTER.rglob("*.py"))
-    assert lines < MOST_LINES
+    assert lines < MAX_LINES
 
 
-def test_the_folder_imports_no_policy() -> None:
+def test_the_adapter_imports_no_policy() -> None:
     for path in ADAPTER.rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.Import | ast.ImportFrom):
--- a/tests/quality/test_proofs_can_fail.py
+++ b/tests/quality/test_proofs_can_fail.py
@@ -1,8 +1,6 @@
-"""Each proof fails once its mechanism is taken out.
+"""Mutation checks: a scenario or a test fails once its mechanism is disabled.
 
-A check that passes with and without what it checks proves nothing. Every entry
-takes one mechanism out and names a scenario, or a played fault, that must then
-fail.
+Guards against checks that pass whether or not the mechanism works.
 """
 
 import collections.abc
@@ -50,7 +48,7 @@
 
 
 def _without_claims(patch: pytest.MonkeyPatch) -> None:
-    """Run a keyed call without winning its claim, as a lease holder would."""
+    """Dispatch keyed calls without a claim, as a lease holder does."""
 
     def start(state: states.State, hosted: states.Hosted, out: states.Effects) -> None:
         admission.take_slot(state)
@@ -69,7 +67,7 @@
 
 
 def _run_losing_claims(patch: pytest.MonkeyPatch) -> None:
-    """Take one's own claim for the first, whatever came before it."""
+    """Treat a node's own claim as the first one in the log."""
 
     def on_record(
         state: states.State, batch: messages.ClaimBatch, out: states.Effects
@@ -91,7 +89,7 @@
 
 
 def _always_not_run(patch: pytest.MonkeyPatch) -> None:
-    """Say ``not-run`` of every call that got no answer."""
+    """Report ``not-run`` for every call without an answer."""
 
     class _Always:
         NOT_RUN = messages.Outcome.NOT_RUN
@@ -115,15 +113,15 @@
 
 
 def _without_admission(patch: pytest.MonkeyPatch) -> None:
-    """Pass everything through, in the order of arrival."""
+    """Admit every call in the order of arrival."""
     patch.setattr(admission, "has_slot", lambda state: True)
     patch.setattr(hosting, "_worth_starting", lambda state, hosted, out: True)
     patch.setattr(admission, "tree_level", lambda state, kind: ranks.LOWEST)
 
 
 def _random_upstream(patch: pytest.MonkeyPatch) -> None:
-    """Choose at random, which is the worst case. Where several are weighed, what an
-    entry sent itself keeps it from a frozen one, whether or not that is suspected."""
+    """Choose upstreams at random. In a comparison, the entry node's own outstanding
+    calls would steer it away from a paused node whether or not it is suspected."""
     patch.setattr(routing, "FULL_COMPARISON_LIMIT", 0)
     patch.setattr(routing, "SAME_ZONE_SAMPLE", 0)
     patch.setattr(routing, "ANY_ZONE_SAMPLE", 1)
@@ -138,7 +136,7 @@
 
 
 def _stop_immediately(patch: pytest.MonkeyPatch) -> None:
-    """Exit on the first signal, without finishing or lingering."""
+    """Exit on the first signal without a drain."""
 
     def stop(state: states.State, out: states.Effects) -> None:
         state.stopped = True
@@ -161,22 +159,22 @@
 
 
 @pytest.mark.parametrize(
-    ("name", "take_out", "told"),
+    ("name", "disable", "failed_expectation"),
     SCENARIOS,
     ids=[f"{name}-{f.__name__.strip('_')}" for name, f, _ in SCENARIOS],
 )
 def test_scenario_fails_without_the_mechanism(
     monkeypatch: pytest.MonkeyPatch,
     name: str,
-    take_out: collections.abc.Callable[[pytest.MonkeyPatch], None],
-    told: str,
+    disable: collections.abc.Callable[[pytest.MonkeyPatch], None],
+    failed_expectation: str,
 ) -> None:
-    take_out(monkeypatch)
+    disable(monkeypatch)
     failures = scenario.play(FOLDER / f"{name}.scenario")
-    assert any(told in failure for failure in failures), failures
+    assert any(failed_expectation in failure for failure in failures), failures
 
 
-def test_frozen_nodes_are_passed_over_also_where_one_is_drawn(
+def test_paused_nodes_are_avoided_with_a_random_choice_too(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     _random_upstream(monkeypatch)
@@ -210,13 +208,13 @@
         of_revisions.test_of_two_on_the_same_base_the_first_in_the_log_wins_everywhere()
 
 
-def test_the_retention_proof_fails_when_a_trimmed_log_counts_as_whole(
+def test_the_retention_proof_fails_when_a_trimmed_log_counts_as_complete(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    def based(state: states.State, *, first: int, oldest: int, gap: bool) -> None:
+    def on_read(state: states.State, *, first: int, oldest: int, gap: bool) -> None:
         state.revisions.complete = True
 
-    monkeypatch.setattr(revisions, "on_read", based)
+    monkeypatch.setattr(revisions, "on_read", on_read)
     with pytest.raises(AssertionError):
         of_revisions.test_a_reader_of_a_trimmed_log_decides_nothing_before_a_snapshot()
 
--- a/tests/quality/test_rules_can_be_broken.py
+++ b/tests/quality/test_rules_can_be_broken.py
@@ -1,4 +1,4 @@
-"""For each rule of the users' platform: its proof fails when its mechanism is out."""
+"""Mutation checks: the test of each platform rule fails without its mechanism."""
 
 import collections
 import collections.abc
@@ -48,8 +48,8 @@
     test_decisions_under_load as under_load,
     test_freshness as fresh,
     test_keyed_members as members,
-    test_membership as members_told,
-    test_pollers as waiting,
+    test_membership as of_membership,
+    test_pollers as of_pollers,
     test_process_pauses as pauses,
     test_quarantine as of_quarantine,
     test_routed_attempts as attempts,
@@ -64,7 +64,7 @@
 
 
 def _nothing(*arguments: typing.Any, **options: typing.Any) -> None:
-    """Stand in for what is taken out."""
+    """Replace a function by one without effect."""
 
 
 def _false(*arguments: typing.Any, **options: typing.Any) -> bool:
@@ -75,13 +75,15 @@
     return True
 
 
-def _attribute_all(ends: dict[str, typing.Any]) -> dict[int, states.QuarantineEntry]:
-    """Blame all that was under way in three ends, whatever explains them."""
-    counts = collections.Counter(r for end in ends.values() for r in end.requests)
+def _attribute_all(crashes: dict[str, typing.Any]) -> dict[int, states.QuarantineEntry]:
+    """Attribute crashes to every request in progress during enough of them."""
+    counts = collections.Counter(
+        r for crash in crashes.values() for r in crash.requests
+    )
     return {
-        request: states.QuarantineEntry(crash_count=times, last_crash_at=builders.START)
-        for request, times in counts.items()
-        if times >= crash_attribution.CRASHES_TO_QUARANTINE
+        request: states.QuarantineEntry(crash_count=count, last_crash_at=builders.START)
+        for request, count in counts.items()
+        if count >= crash_attribution.CRASHES_TO_QUARANTINE
     }
 
 
@@ -90,17 +92,22 @@
 
 
 def _dated_on_arrival(
-    state: states.State, asked: float, message: messages.Gossip
+    state: states.State, requested_at: float, message: messages.Gossip
 ) -> None:
-    """Take a member's word for as young as its arrival."""
+    """Date a reported age by the arrival of the message."""
     if message.verified_age_ms >= 0:
         state.freshness.verified_at = state.now - message.verified_age_ms
 
 
 def _reachable_count(state: states.State) -> int:
-    """Count those members only that can be reached."""
-    view = state.membership
-    return max(1, len(view.members) - len(view.gone) - len(view.suspected))
+    """Count only the members that are neither suspected nor gone."""
+    membership_view = state.membership
+    return max(
+        1,
+        len(membership_view.members)
+        - len(membership_view.gone)
+        - len(membership_view.suspected),
+    )
 
 
 def _full_share(state: states.State) -> float:
@@ -108,7 +115,7 @@
 
 
 def _without_workspace(*arguments: typing.Any) -> None:
-    """Let a request in without a look at its key."""
+    """Admit a request without checking its key."""
 
 
 def _activate_any(state: typing.Any, table: typing.Any, out: typing.Any) -> bool:
@@ -118,7 +125,7 @@
 
 MECHANISMS: list[tuple[str, typing.Any, typing.Any, object, Proof]] = [
     (
-        "UNASKED: whose a request is",
+        "UNASKED: the workspace of a request",
         workspaces,
         "of_request",
         _without_workspace,
@@ -132,7 +139,7 @@
         of_workspaces.test_neither_the_key_nor_a_workspace_header_is_forwarded,
     ),
     (
-        "ROUTE: a key that never was",
+        "ROUTE: an unknown key",
         workspaces,
         "of_request",
         _without_workspace,
@@ -142,42 +149,42 @@
         ),
     ),
     (
-        "CONFIG: keys at a node that hears nothing",
+        "CONFIG: keys at an isolated node",
         freshness,
         "is_stale",
         _false,
         fresh.test_an_isolated_node_refuses_keys_after_the_time_allowed,
     ),
     (
-        "CONFIG: words that were under way",
+        "CONFIG: delayed answers of peers",
         freshness,
         "on_peer_age",
         _dated_on_arrival,
         fresh.test_an_answer_is_dated_by_its_query_however_late_it_arrives,
     ),
     (
-        "CONFIG: nodes that the log refuses",
+        "CONFIG: nodes refused by the log",
         freshness,
         "on_peer_age",
         _nothing,
         fresh.test_a_node_refused_by_the_log_relies_on_its_members,
     ),
     (
-        "CONFIG: heads that the log refuses",
+        "CONFIG: first nodes refused by the log",
         freshness_renewal,
         "_read_log",
         _nothing,
         fresh.test_when_all_heads_are_refused_by_the_log_the_others_read_it,
     ),
     (
-        "CONFIG: a log that falls silent",
+        "CONFIG: a log that stops answering",
         pollers,
         "_long_poll_ms",
         lambda state: 0,
-        waiting.test_a_change_made_while_the_log_is_silent_is_in_force_soon_after,
+        of_pollers.test_a_change_made_while_the_log_is_silent_is_in_force_soon_after,
     ),
     (
-        "QUOTA: parted sides",
+        "QUOTA: network partition",
         member_order,
         "cap_sharer_count",
         _reachable_count,
@@ -187,7 +194,7 @@
         ),
     ),
     (
-        "QUOTA: several keepers",
+        "QUOTA: several allocators",
         cap_allocator,
         "current_share",
         _full_share,
@@ -229,14 +236,14 @@
         announcements.test_leaving_refuses_what_is_queued_and_what_comes_later,
     ),
     (
-        "DRAIN, late word",
+        "DRAIN, delayed announcement",
         instances,
         "is_outdated",
         _false,
         announcements.test_a_late_announcement_does_not_undo_leaving,
     ),
     (
-        "LOST, end of the grace",
+        "LOST, end of the grace period",
         reducer.calls,
         "refuse_all",
         _nothing,
@@ -257,14 +264,14 @@
         of_routes.test_a_later_version_heard_by_gossip_is_fetched_from_that_peer,
     ),
     (
-        "CONFIG, never back",
+        "CONFIG, no older version",
         route_table,
         "activate",
         _activate_any,
         of_routes.test_the_version_in_force_never_goes_down,
     ),
     (
-        "BUDGET, requests that end backend servers: the entries",
+        "BUDGET, quarantine: entry nodes",
         sending.quarantine,
         "entry_of",
         _nothing,
@@ -274,49 +281,49 @@
         ),
     ),
     (
-        "BUDGET, requests that end backend servers: the homes",
+        "BUDGET, quarantine: home nodes",
         hosting.quarantine,
         "admits",
         _true,
         of_quarantine.test_a_queued_call_is_refused_once_it_is_quarantined,
     ),
     (
-        "BUDGET, requests that end backend servers: the news",
+        "BUDGET, quarantine: gossip",
         membership.quarantine_gossip,
         "on_gossip",
         _false,
         deadly.test_home_nodes_of_a_large_service_share_their_crashes,
     ),
     (
-        "BUDGET, requests that end backend servers: a loss of all nodes",
+        "BUDGET, quarantine: restart of all nodes",
         quarantine_table,
         "save",
         _nothing,
         deadly.test_it_stays_quarantined_when_all_nodes_restart_at_once,
     ),
     (
-        "what is popular is not kept out",
+        "quarantine spares popular requests",
         quarantine,
         "MAX_RECENT_RUNS",
         0,
         of_quarantine.test_a_popular_request_in_progress_in_every_crash_is_not_quarantined,
     ),
     (
-        "what another request explains is not kept out",
+        "quarantine spares requests that did not cause the crash",
         crash_attribution,
         "attribute_crashes",
         _attribute_all,
         of_quarantine.test_a_harmless_request_retried_into_three_crashes_is_not_quarantined,
     ),
     (
-        "what is kept out by mistake is tried",
+        "quarantined requests are tried again",
         quarantine,
         "_trial_home",
         _nothing,
         of_quarantine.test_a_harmless_request_in_quarantine_is_tried_and_cleared,
     ),
     (
-        "a node that stood still suspects nobody",
+        "a paused node suspects no member",
         pause_detection,
         "PAUSE_THRESHOLD_MS",
         1e12,
@@ -330,21 +337,21 @@
         of_routes.test_without_a_table_a_caller_is_told_to_come_back,
     ),
     (
-        "RECOVER, parted sides",
+        "RECOVER, network partition",
         joining.membership,
         "ping",
         _nothing,
         members.test_members_held_for_gone_are_pinged_so_that_parted_sides_meet_again,
     ),
     (
-        "RECOVER, read again",
+        "RECOVER, repeated read",
         streams,
         "reread",
         _nothing,
         members.test_members_are_read_again_if_a_read_was_under_way_when_the_own_record_came,
     ),
     (
-        "RECOVER, right after a start",
+        "RECOVER, startup",
         sending.startup_waits,
         "enqueue",
         _false,
@@ -365,35 +372,35 @@
         silent.test_a_probe_that_was_lost_is_repeated_by_the_node_itself,
     ),
     (
-        "a node ticks when something is due",
+        "an idle node ticks rarely",
         ticks.reducer,
         "next_tick",
         lambda state: state.now + timers.TICK_MS,
-        ticks.test_a_node_at_rest_ticks_seldom,
+        ticks.test_an_idle_node_ticks_rarely,
     ),
     (
-        "each change of belief is told",
+        "each change of a member's state is logged",
         membership.member_table,
         "_log_change",
         _nothing,
-        members_told.test_each_change_of_belief_about_a_member_is_told_with_its_source,
+        of_membership.test_each_change_of_belief_about_a_member_is_told_with_its_source,
     ),
     (
-        "a deeper call with a free slot is tried",
+        "a nested call with a free slot is dispatched",
         hosting,
         "MIN_CHILD_TIME_SHARE",
         1.0,
         under_load.test_a_deeper_call_that_finds_a_free_slot_is_tried_with_less_time,
     ),
     (
-        "GONE, entry",
+        "GONE, entry node",
         calls,
         "_cancel_attempt",
         _nothing,
         attempts.test_a_caller_that_disconnects_cancels_its_attempt_at_once,
     ),
     (
-        "GONE, home",
+        "GONE, home node",
         reducer._HANDLERS,
         events.CancelReceived,
         _nothing,
