--- a/tests/nocover/conftest.py
+++ b/tests/nocover/conftest.py
@@ -1,4 +1,4 @@
-"""Real processes for the slow tests, shared where a test leaves them as they were."""
+"""Clusters of real processes for the slow tests."""
 
 import collections.abc
 import pathlib
@@ -13,7 +13,7 @@
 def cluster(
     tmp_path_factory: pytest.TempPathFactory,
 ) -> collections.abc.Iterator[processes.Cluster]:
-    """Two services on three nodes, with the tests' document in force."""
+    """Start two services on three nodes, shared by the tests of a module."""
     folder = tmp_path_factory.mktemp("cluster")
     with processes.Cluster(folder) as made:
         start(made)
@@ -21,7 +21,7 @@
 
 
 def start(made: processes.Cluster) -> None:
-    """Start the tests' three nodes."""
+    """Start three nodes and publish the configuration of the tests."""
     made.add("plans-1", service="plans", zone="bne-a", service_ms=5.0, wait=False)
     made.add("plans-2", service="plans", zone="bne-b", service_ms=5.0, wait=False)
     made.add(
@@ -40,7 +40,7 @@
 
 @pytest.fixture
 def fresh(tmp_path: pathlib.Path) -> collections.abc.Iterator[processes.Cluster]:
-    """The same, for a test that breaks something."""
+    """Start the same cluster for a single test that injects faults."""
     with processes.Cluster(tmp_path) as made:
         start(made)
         yield made
--- a/tests/nocover/test_call_path.py
+++ b/tests/nocover/test_call_path.py
@@ -1,4 +1,4 @@
-"""A call through real nodes: whole answers, bodies of all kinds, bad input."""
+"""Calls through real nodes: bodies, framing, pipelining and malformed requests."""
 
 import asyncio
 import concurrent.futures
@@ -60,7 +60,7 @@
     assert reply.content == b"y" * 800_000
 
 
-def test_a_document_pack_of_100_mb_passes_in_bounded_memory(
+def test_an_answer_of_100_mb_is_relayed_in_bounded_memory(
     cluster: processes.Cluster,
 ) -> None:
     entry = cluster.nodes["porting-1"]
@@ -85,11 +85,13 @@
     return int(line.split()[1]) / 1024
 
 
-def test_a_cut_answer_never_passes_for_a_whole_one(cluster: processes.Cluster) -> None:
+def test_a_truncated_answer_is_never_relayed_as_complete(
+    cluster: processes.Cluster,
+) -> None:
     entry = cluster.nodes["porting-1"]
-    short = _call(entry, "/bytes/1000/cut")
-    assert short.status_code == 502
-    assert short.headers["gingerturn-outcome"] == "unknown"
+    truncated = _call(entry, "/bytes/1000/cut")
+    assert truncated.status_code == 502
+    assert truncated.headers["gingerturn-outcome"] == "unknown"
     with pytest.raises(httpx.RemoteProtocolError):
         _call(entry, "/bytes/1000000/cut")
 
@@ -103,14 +105,14 @@
 
 def test_expect_100_is_answered(cluster: processes.Cluster) -> None:
     node = cluster.nodes["porting-1"]
-    found = raw.exchange(
+    received = raw.exchange(
         node.calls_port,
         b"PUT /echo HTTP/1.1\r\nhost: plans\r\nexpect: 100-continue\r\n"
         b"content-length: 3\r\nconnection: close\r\n\r\n",
         b"abc",
     )
-    assert found.startswith(b"HTTP/1.1 100 ")
-    assert found.endswith(b"abc")
+    assert received.startswith(b"HTTP/1.1 100 ")
+    assert received.endswith(b"abc")
 
 
 def test_pipelined_requests_are_answered_in_order(cluster: processes.Cluster) -> None:
@@ -120,9 +122,9 @@
         % (b"connection: close\r\n" if number == 19 else b"", number)
         for number in range(20)
     )
-    found = raw.exchange(node.calls_port, requests)
+    received = raw.exchange(node.calls_port, requests)
     bodies = [
-        part.split(b"\r\n\r\n", 1)[1] for part in found.split(b"HTTP/1.1 200")[1:]
+        part.split(b"\r\n\r\n", 1)[1] for part in received.split(b"HTTP/1.1 200")[1:]
     ]
     assert bodies == [b"%02d" % number for number in range(20)]
 
@@ -136,7 +138,7 @@
     async def all_of_them() -> list[bool]:
         entries = [node.entry for node in cluster.nodes.values()]
         async with httpx.AsyncClient(trust_env=False, timeout=30.0) as client:
-            # At most as many at once as the two backend servers have slots.
+            # The two backend servers have eight slots together.
             gate = asyncio.Semaphore(8)
 
             async def gated(number: int) -> bool:
@@ -157,12 +159,12 @@
         timeout=10.0,
     )
     assert reply.status_code == 200
-    why = httpx.get(
+    explanation = httpx.get(
         f"{cluster.nodes['plans-2'].admin}/why/{reply.headers['gingerturn-decision']}",
         trust_env=False,
     ).json()
-    assert why["words"] == "Dispatched to the backend server."
-    assert why["kind"] == "port-request"
+    assert explanation["words"] == "Dispatched to the backend server."
+    assert explanation["kind"] == "port-request"
 
 
 def test_copies_of_one_key_at_the_same_moment_run_once(
@@ -209,30 +211,32 @@
     cluster: processes.Cluster, name: str
 ) -> None:
     node = cluster.nodes["plans-1"]
-    found = raw.exchange(node.calls_port, BAD[name])
-    assert found.startswith(b"HTTP/1.1 400 "), found
-    assert b"application/problem+json" in found
-    assert len(re.findall(rb"HTTP/1\.1 \d", found)) == 1
+    received = raw.exchange(node.calls_port, BAD[name])
+    assert received.startswith(b"HTTP/1.1 400 "), received
+    assert b"application/problem+json" in received
+    assert len(re.findall(rb"HTTP/1\.1 \d", received)) == 1
     assert _call(node, "/status").status_code == 200
 
 
 def test_a_head_that_is_too_large_is_refused(cluster: processes.Cluster) -> None:
     node = cluster.nodes["plans-1"]
     lines = b"".join(b"x-%d: %b\r\n" % (n, b"v" * 900) for n in range(60))
-    found = raw.exchange(
+    received = raw.exchange(
         node.calls_port, b"GET / HTTP/1.1\r\nhost: plans\r\n" + lines + b"\r\n"
     )
-    assert found.startswith(b"HTTP/1.1 431 ")
+    assert received.startswith(b"HTTP/1.1 431 ")
 
 
-def test_an_unknown_service_is_told(cluster: processes.Cluster) -> None:
+def test_a_call_of_an_unknown_service_is_answered_with_404(
+    cluster: processes.Cluster,
+) -> None:
     reply = _call(cluster.nodes["plans-1"], "/", headers={"host": "nobody"})
     assert reply.status_code == 404
     assert reply.headers["gingerturn-outcome"] == "not-run"
     assert "nobody" in reply.json()["title"]
 
 
-def test_own_headers_from_outside_do_not_reach_the_backend_server(
+def test_forged_gingerturn_headers_do_not_reach_the_backend_server(
     cluster: processes.Cluster,
 ) -> None:
     reply = _call(
@@ -250,15 +254,17 @@
     assert int(seen["gingerturn-deadline-ms"]) > 1000
 
 
-def test_a_stranger_cannot_speak_to_the_peers_port(cluster: processes.Cluster) -> None:
+def test_unauthenticated_bytes_get_no_answer_on_the_peers_port(
+    cluster: processes.Cluster,
+) -> None:
     node = cluster.nodes["plans-1"]
     for content in (
         b"GET / HTTP/1.1\r\n\r\n",
         b"\x00\x00\x00\x08abcdefgh",
         b"\xff" * 64,
     ):
-        found = raw.exchange(node.admin_port and _peers_port(cluster, node), content)
-        assert found == b""
+        received = raw.exchange(node.admin_port and _peers_port(cluster, node), content)
+        assert received == b""
     assert _call(node, "/status").status_code == 200
 
 
--- a/tests/nocover/test_command_line.py
+++ b/tests/nocover/test_command_line.py
@@ -1,4 +1,4 @@
-"""The command line against real nodes: what it prints and its exit statuses."""
+"""Output and exit statuses of the command line against real nodes."""
 
 import json
 import os
@@ -29,7 +29,7 @@
     )
 
 
-def test_version_is_told() -> None:
+def test_version_is_printed() -> None:
     assert _run("--version").stdout.startswith("gingerturn, version 0.")
 
 
@@ -49,7 +49,9 @@
     assert "Traceback" not in refused.stderr
 
 
-def test_a_missing_file_and_a_missing_node_are_told(tmp_path: pathlib.Path) -> None:
+def test_a_missing_file_and_an_unreachable_node_are_reported(
+    tmp_path: pathlib.Path,
+) -> None:
     missing = _run("config", "check", str(tmp_path / "none.toml"))
     assert (missing.returncode, "cannot be read" in missing.stderr) == (2, True)
     settings = _run("node", "--settings", str(tmp_path / "none.toml"))
@@ -94,8 +96,8 @@
     )
     decision = reply.headers["gingerturn-decision"]
     for node in cluster.nodes.values():
-        told = _run("why", decision, "--admin", node.admin)
-        assert "Dispatched to the backend server." in told.stdout
+        result = _run("why", decision, "--admin", node.admin)
+        assert "Dispatched to the backend server." in result.stdout
     gone = _run("why", "plans-1:ffffff", "--admin", second.admin)
     assert gone.returncode == 4
     assert "not held" in gone.stderr
@@ -118,16 +120,16 @@
 
 
 @pytest.mark.parametrize("content", [b"\x00\x00\x00\x05hello", b"\x00\x00\x00\x01\x90"])
-def test_a_trace_that_is_none_is_told(tmp_path: pathlib.Path, content: bytes) -> None:
+def test_an_invalid_trace_is_reported(tmp_path: pathlib.Path, content: bytes) -> None:
     path = tmp_path / "trace"
     path.write_bytes(content)
-    told = _run("replay", str(path))
-    assert told.returncode == 2
-    assert "Traceback" not in told.stderr
+    result = _run("replay", str(path))
+    assert result.returncode == 2
+    assert "Traceback" not in result.stderr
 
 
 @pytest.mark.parametrize("which", ["calls_port", "peers_port", "admin_port"])
-def test_a_node_whose_address_is_taken_says_which_and_ends(
+def test_a_node_whose_address_is_in_use_reports_it_and_exits(
     which: str, tmp_path: pathlib.Path
 ) -> None:
     with socket.socket() as taken, processes.Cluster(tmp_path) as cluster:
@@ -146,11 +148,11 @@
             "again", "-m", "gingerturn", "node", "--settings", str(path)
         )
         assert again.wait(timeout=20) == daemon.EXIT_NOT_STARTED
-        told = (tmp_path / "again.log").read_text()
-        assert f"listen, 127.0.0.1:{port}: cannot listen" in told
+        result = (tmp_path / "again.log").read_text()
+        assert f"listen, 127.0.0.1:{port}: cannot listen" in result
 
 
-def test_a_node_that_does_not_come_up_is_named(tmp_path: pathlib.Path) -> None:
+def test_a_node_that_does_not_start_is_named(tmp_path: pathlib.Path) -> None:
     with processes.Cluster(tmp_path) as cluster:
         added = cluster.add("n1", service="plans", zone="a", wait=False, backend=False)
         added.node.kill()
--- a/tests/nocover/test_deadly_requests_for_real.py
+++ b/tests/nocover/test_deadly_requests_for_real.py
@@ -1,7 +1,7 @@
-"""A request that ends backend servers, on real processes.
+"""Quarantine of requests that crash backend servers, on real processes.
 
-What the fakes cannot show: that the connections of a process that ends break, that
-nothing listens at its address any more, and that its node tells the two apart.
+Covers what the fakes do not: broken connections of a crashed process, and refused
+connections to its address.
 """
 
 import collections.abc
@@ -21,9 +21,9 @@
     return httpx.get(node.entry + path, headers=headers, trust_env=False, timeout=10.0)
 
 
-def _wait_until(holds: collections.abc.Callable[[], bool]) -> None:
+def _wait_until(condition: collections.abc.Callable[[], bool]) -> None:
     deadline = time.monotonic() + WAIT_S
-    while not holds():
+    while not condition():
         assert time.monotonic() < deadline
         time.sleep(0.05)
 
@@ -41,13 +41,13 @@
     return [row["request"] for row in rows]
 
 
-def test_a_request_that_ends_backend_servers_is_kept_out_until_it_is_cleared(
+def test_a_request_that_crashes_backend_servers_is_quarantined_until_cleared(
     fresh: processes.Cluster,
 ) -> None:
     fresh.add("plans-3", service="plans", zone="tsv", service_ms=5.0)
     fresh.wait_ready(members=4)
     entry = fresh.nodes["porting-1"]
-    # Its two repeats go to the other upstreams.
+    # The two repeats of the request go to the other upstreams.
     answer = _get(entry, DEADLY)
     assert answer.headers["gingerturn-outcome"] == "unknown"
     assert all(_crashed(node) for node in _upstreams(fresh))
@@ -60,10 +60,10 @@
     assert refused.status_code == 503
     assert refused.headers["gingerturn-outcome"] == "not-run"
     assert int(refused.headers["retry-after"]) > 1
-    told = command_line._run(
+    explanation = command_line._run(
         "why", refused.headers["gingerturn-decision"], "--admin", entry.admin
     )
-    assert "Quarantined: " in told.stdout
+    assert "Quarantined: " in explanation.stdout
     assert not any(_crashed(node) for node in _upstreams(fresh))
 
     (request,) = _quarantined(entry)
@@ -80,7 +80,7 @@
     _wait_until(lambda: not any(_quarantined(node) for node in fresh.nodes.values()))
 
 
-def test_a_killed_backend_server_keeps_nothing_harmless_out(
+def test_a_killed_backend_server_quarantines_no_harmless_request(
     fresh: processes.Cluster,
 ) -> None:
     entry = fresh.nodes["porting-1"]
--- a/tests/nocover/test_on_platform.py
+++ b/tests/nocover/test_on_platform.py
@@ -1,4 +1,4 @@
-"""Real nodes on the stand-in of the platform: the whole path and its faults."""
+"""Real nodes on the stand-in of the platform: requests, faults and restarts."""
 
 import collections.abc
 import concurrent.futures
@@ -41,7 +41,7 @@
 def platform(
     tmp_path: pathlib.Path,
 ) -> collections.abc.Iterator[platform_processes.Platform]:
-    """Three machines, with two routes in force."""
+    """Start three machines with two routes in force."""
     with platform_processes.Platform(tmp_path) as made:
         made.configure(ROUTE, PORT)
         made.add("plans-1", service="plans")
@@ -138,7 +138,7 @@
     assert _runs(platform, "m1") == 0
 
 
-def test_a_full_upstream_is_passed_over_and_nothing_runs_twice(
+def test_a_full_upstream_is_avoided_and_nothing_runs_twice(
     platform: platform_processes.Platform,
 ) -> None:
     platform.machines["plans-1"].tell_upstream(refuse=True)
@@ -155,14 +155,14 @@
     stopping = platform.machines["plans-1"]
     stopping.tell_upstream(work_ms=300)
     with concurrent.futures.ThreadPoolExecutor(8) as pool:
-        asked = [pool.submit(_request, stopping, f"s{number}") for number in range(8)]
+        pending = [pool.submit(_request, stopping, f"s{number}") for number in range(8)]
         platform.wait_until(
             lambda: sum(_runs(platform, f"s{number}") for number in range(8)) >= 4
         )
         stopping.node.send_signal(signal.SIGTERM)
         platform.wait_until(lambda: not stopping.ready())
         late = _request(stopping, "s-late")
-        assert [reply.result().status_code for reply in asked] == [200] * 8
+        assert [reply.result().status_code for reply in pending] == [200] * 8
     assert late.status_code == 200
     assert stopping.node.wait(timeout=10) == 0
 
@@ -186,23 +186,23 @@
     platform: platform_processes.Platform,
 ) -> None:
     path = platform.folder / "plans-1.json"
-    told = json.loads(path.read_text())
+    boot = json.loads(path.read_text())
     path.write_text("{")
     platform.wait_until(lambda: "Settings refused" in platform.log_of("plans-1"))
-    told["bounds"]["retry_budget_slack"] = 7
-    path.write_text(json.dumps(told))
+    boot["bounds"]["retry_budget_slack"] = 7
+    path.write_text(json.dumps(boot))
     platform.wait_until(lambda: "Settings read again" in platform.log_of("plans-1"))
     assert _request(platform.machines["plans-1"], "h2").status_code == 200
 
 
-def _why(made: platform_processes.Platform, wanted: str) -> explain.Story:
-    """Explain a request from the logs of all nodes, once they tell how it ended."""
+def _why(made: platform_processes.Platform, request: str) -> explain.Story:
+    """Explain a request from the logs of all nodes once they contain its end."""
 
     def story() -> explain.Story:
         paths = [made.folder / f"{name}.log" for name in made.machines]
         with contextlib.ExitStack() as stack:
             files = [stack.enter_context(path.open("rb")) for path in paths]
-            return explain.explain(explain.read(files), wanted)
+            return explain.explain(explain.read(files), request)
 
     made.wait_until(lambda: story().end is not None)
     return story()
@@ -214,7 +214,7 @@
     entry = platform.machines["plans-1"]
     upstream = platform.machines["porting-1"]
 
-    def ask(number: str) -> tuple[int, explain.Line]:
+    def fail(number: str) -> tuple[int, explain.Line]:
         reply = _request(entry, number, path="/p/", method="POST")
         by_id = _why(platform, number)
         assert by_id == _why(platform, reply.headers["Gingerturn-Decision"])
@@ -222,30 +222,30 @@
         return reply.status_code, by_id.cause
 
     upstream.tell_upstream(refuse=True)
-    status, cause = ask("e-refused")
+    status, cause = fail("e-refused")
     assert (status, cause.rule, cause.node) == (503, "backend_refused", "porting-1")
     upstream.tell_upstream(refuse=False, cut=True)
-    status, cause = ask("e-unclear")
+    status, cause = fail("e-unclear")
     assert (status, cause.rule, cause.node) == (502, "outcome_unknown", "porting-1")
     upstream.tell_upstream(cut=False, work_ms=60_000)
-    status, cause = ask("e-late")
+    status, cause = fail("e-late")
     assert (status, cause.rule, cause.node) == (504, "deadline_passed", "porting-1")
 
 
-def test_the_command_line_tells_what_the_metrics_say(
+def test_the_command_line_summarizes_the_metrics(
     platform: platform_processes.Platform, tmp_path: pathlib.Path
 ) -> None:
     machine = platform.machines["plans-1"]
     assert _request(machine, "st1").status_code == 200
     saved = tmp_path / "page"
     saved.write_text(machine.metrics())
-    told = testing.CliRunner().invoke(
+    result = testing.CliRunner().invoke(
         main.cli,
         ["status", "--metrics", machine.metrics_url, "--metrics", str(saved)],
     )
-    assert told.exit_code == 0, told.output
-    assert told.output.count("ready, routes version 3, 3 members, 3 upstreams") == 2
-    assert "answered 1," in told.output
+    assert result.exit_code == 0, result.output
+    assert result.output.count("ready, routes version 3, 3 members, 3 upstreams") == 2
+    assert "answered 1," in result.output
 
 
 def test_a_recorded_node_replays_to_the_same_effects(
@@ -261,7 +261,7 @@
     assert f"digest {replayed}." in platform.log_of("plans-1")
 
 
-# Guards against readers that ask for ever for an offset which a restored store lacks.
+# Guards against readers that poll forever for an offset beyond a restored store.
 def test_a_store_that_is_restored_is_followed_and_joined_again(
     platform: platform_processes.Platform,
 ) -> None:
@@ -270,7 +270,7 @@
         lost = platform.configure(ROUTE, PORT)
         _wait_version(platform, lost)
     platform.restore_store()
-    # The store is shorter than before by two records.
+    # With one new record, the store still ends two records before the readers.
     moved = {**ROUTE, "service_name": "porting"}
     _wait_version(platform, platform.configure(moved, PORT))
     for machine in platform.machines.values():
@@ -286,7 +286,7 @@
     platform.wait_until(lambda: all(line in m.metrics() for m in machines))
 
 
-def test_the_store_away_changes_nothing_for_requests_and_is_caught_up_later(
+def test_a_store_outage_affects_no_request_and_updates_follow_later(
     platform: platform_processes.Platform,
 ) -> None:
     platform.fault(down=True)
@@ -303,17 +303,17 @@
     machine.node.wait(timeout=10)
 
 
-def test_nodes_started_while_the_store_is_away_say_so_and_join_later(
+def test_nodes_started_during_a_store_outage_are_not_ready_and_join_later(
     platform: platform_processes.Platform,
 ) -> None:
-    # All of them: from a node that was left running the others hear all they need.
+    # All nodes restart: a running node would give its state to the others.
     for machine in platform.machines.values():
         _kill(machine)
     platform.fault(down=True)
     for name, machine in platform.machines.items():
         machine.node = platform.start_node(name)
     for name, machine in platform.machines.items():
-        # The log goes on in the same file: the second start is what is waited for.
+        # Both starts write to the same log file.
         platform.wait_until(lambda n=name: platform.log_of(n).count("is up") == 2)
         reply = _request(machine, f"w1.{name}")
         assert reply.status_code == 503
@@ -324,13 +324,13 @@
     assert _request(platform.machines["plans-1"], "w2").status_code == 200
 
 
-def test_a_node_started_while_the_store_is_away_serves_by_what_its_peers_tell(
+def test_a_node_started_during_a_store_outage_serves_with_state_of_its_peers(
     platform: platform_processes.Platform,
 ) -> None:
     machine = platform.machines["plans-1"]
     _kill(machine)
     platform.fault(down=True)
-    # By then the peers' own records have long ceased to ride along with their pings.
+    # By then the peers no longer piggyback their own records on pings.
     platform.wait_until(lambda: "plans-1 is gone" in platform.log_of("plans-2"))
     machine.node = platform.start_node("plans-1")
     platform.wait_until(lambda: _answers(machine, 200))
--- a/tests/nocover/test_start_of_a_node.py
+++ b/tests/nocover/test_start_of_a_node.py
@@ -1,4 +1,4 @@
-"""What comes to a node while it starts."""
+"""Announcements and signals that arrive while a node starts."""
 
 import asyncio
 import contextlib
@@ -22,11 +22,13 @@
 
 
 def _unavailable(step: str) -> errors.LogServiceError:
-    return errors.LogServiceError("away", step=step, peer="log", took_effect=False)
+    return errors.LogServiceError(
+        "unavailable", step=step, peer="log", took_effect=False
+    )
 
 
 class _UnavailableLog:
-    """A log service that is away."""
+    """A log service that is unavailable."""
 
     async def read(
         self, stream: str, offset: int, *, wait: bool = True
@@ -95,7 +97,7 @@
         await node.close()
 
 
-def test_a_backend_server_announced_during_the_start_is_told_to_members() -> None:
+def test_a_backend_server_announced_during_the_start_is_gossiped() -> None:
     assert asyncio.run(_start_between_announcements()) == "plans"
 
 
@@ -108,14 +110,14 @@
 
 
 def _ignores_sighup(process: subprocess.Popen[bytes]) -> bool:
-    """Tell whether a process leaves SIGHUP without effect at the moment."""
+    """Return whether a process currently ignores SIGHUP."""
     text = pathlib.Path(f"/proc/{process.pid}/status").read_text()
     (line,) = [line for line in text.splitlines() if line.startswith("SigIgn:")]
     return bool(int(line.split()[1], 16) >> (signal.SIGHUP - 1) & 1)
 
 
 def _feed(path: pathlib.Path, process: subprocess.Popen[bytes]) -> None:
-    """Let a process read bad settings from a pipe, as often as it opens it."""
+    """Write invalid settings to a pipe each time that a process opens it."""
     while process.poll() is None:
         with contextlib.suppress(OSError):
             descriptor = os.open(path, os.O_WRONLY | os.O_NONBLOCK)
@@ -128,8 +130,8 @@
 def test_sighup_does_not_end_a_node_that_is_starting(
     command: str, tmp_path: pathlib.Path
 ) -> None:
-    # Seed 835031927 of the soak: settings were changed while a node started anew, and
-    # it was ended by the signal. A pipe that nobody writes to holds the start up here.
+    # Guards against a SIGHUP that terminates a starting node. The start blocks on a
+    # pipe without a writer.
     path = tmp_path / "settings"
     os.mkfifo(path)
     arguments = [sys.executable, *COMMANDS[command]]
--- a/tests/nocover/test_workspaces_for_real.py
+++ b/tests/nocover/test_workspaces_for_real.py
@@ -1,4 +1,4 @@
-"""Workspaces on real nodes: keys, keys taken away, caps; a key is seen nowhere."""
+"""Workspaces on real nodes: authentication, revocation, caps and secrecy of keys."""
 
 import collections.abc
 import pathlib
@@ -20,7 +20,7 @@
 def platform(
     tmp_path: pathlib.Path,
 ) -> collections.abc.Iterator[platform_processes.Platform]:
-    """Three machines and two workspaces."""
+    """Start three machines with two workspaces in force."""
     with platform_processes.Platform(tmp_path) as made:
         made.configure(test_on_platform.ROUTE, workspaces=[SHOP, DEPOT])
         made.add("plans-1", service="plans")
@@ -46,7 +46,7 @@
 
 
 def _all_output(platform: platform_processes.Platform) -> bytes:
-    """Return all that came out of the nodes."""
+    """Return the logs, recordings and metrics of all nodes."""
     out = b""
     for name, machine in platform.machines.items():
         out += platform.log_of(name).encode()
@@ -55,7 +55,7 @@
     return out
 
 
-def test_requests_run_in_the_name_of_the_workspace_and_the_key_is_seen_nowhere(
+def test_requests_run_for_their_workspace_and_keys_are_never_output(
     platform: platform_processes.Platform,
 ) -> None:
     answers = b""
@@ -75,7 +75,7 @@
     assert b"marked-key" not in _all_output(platform)
 
 
-def test_a_key_that_is_taken_away_ceases_to_work_and_another_goes_on(
+def test_a_revoked_key_is_refused_and_its_replacement_accepted(
     platform: platform_processes.Platform,
 ) -> None:
     machine = platform.machines["porting-1"]
@@ -85,7 +85,7 @@
     assert _request(machine, "k2", "marked-key-two").status_code == 200
 
 
-def test_keys_are_closed_while_the_store_is_silent_for_all_and_opened_again(
+def test_keys_are_refused_while_the_store_is_silent_and_accepted_afterwards(
     platform: platform_processes.Platform,
 ) -> None:
     machine = platform.machines["plans-1"]
@@ -97,7 +97,7 @@
     platform.wait_until(lambda: _request(machine, "s2", KEY).status_code == 200)
 
 
-def test_a_workspace_over_its_cap_is_told_when_to_come_back(
+def test_a_workspace_over_its_cap_gets_a_retry_delay(
     platform: platform_processes.Platform,
 ) -> None:
     machines = list(platform.machines.values())
