--- a/tests/nocover/test_faults_property.py
+++ b/tests/nocover/test_faults_property.py
@@ -1,4 +1,4 @@
-"""Any combination of faults: at most once, and the truth of ``not-run``."""
+"""Property-based tests of at-most-once execution under arbitrary faults."""
 
 import hypothesis
 from hypothesis import strategies as st
@@ -36,7 +36,7 @@
 
 
 class Play:
-    """One run: requests that are repeated and duplicated, and faults."""
+    """One run with faults and with repeated and duplicated requests."""
 
     def __init__(self, seed: int) -> None:
         self.world = small.new_world(seed=seed, gossip=True)
@@ -56,10 +56,10 @@
         honest: bool,
         ticket: bool,
     ) -> None:
-        """Send a keyed request, in several copies at the same moment.
+        """Send several concurrent copies of a keyed request.
 
-        :param honest: the caller numbers its sendings; only a single copy can.
-        :param ticket: the key is a ticket instead of the caller's own.
+        :param honest: whether the caller numbers its sendings, for a single copy.
+        :param ticket: whether the key is a ticket instead of a key of the caller.
         """
         self._numbers += 1
         number = self._numbers
@@ -96,7 +96,7 @@
                 holder=holder,
             )
             if not (honest and copies == 1):
-                root.tries = 1  # The next sending counts as a repeat: no claim.
+                root.tries = 1  # The next sending counts as a repeat.
             self.world.send(root)
 
     def _on_end(self, root: parts.Root) -> None:
@@ -105,7 +105,7 @@
             self.world.send(root)
 
     def fault(self, kind: str, at: float, name: str, value: float) -> None:
-        """Let a fault happen, and pass."""
+        """Schedule a fault and its end."""
         made = self.world
         begin, end = at * 1000.0, (at + value) * 1000.0
         if kind == "kill":
@@ -160,7 +160,7 @@
     assert play.truth.false_not_run == []
 
 
-# Guards against keys that run a second time since the log lost the claim of the first.
+# Guards against a second execution of a key whose claim a restored log has lost.
 @hypothesis.given(
     seed=st.integers(0, 1000),
     faults=st.lists(FAULTS, max_size=4),
