--- a/tests/common/builders.py
+++ b/tests/common/builders.py
@@ -1,4 +1,4 @@
-"""Builders of states and events for tests."""
+"""Builders of node states, events and messages for tests."""
 
 import os
 import typing
@@ -18,7 +18,7 @@
 E = typing.TypeVar("E", bound=effects.Effect)
 
 START = 1_800_000_000_000.0
-"""Start time of the clocks in tests, in ms; a time in 2027."""
+"""Initial time of the clocks in tests, in ms since the Unix epoch."""
 
 DOCUMENT = """
 [[importance]]
@@ -57,7 +57,7 @@
 
 
 def settings(name: str = "n1", *, zone: str = "bne-a") -> settings_module.Settings:
-    """Return the settings of a node that is never started."""
+    """Return settings for a node that the test does not start."""
     return settings_module.Settings(
         node=settings_module.Node(
             id=name,
@@ -92,7 +92,7 @@
 def node_state(
     name: str = "n1", *, service: str = "", slots: int = 4, now: float = START
 ) -> states.State:
-    """Return a node with the configuration in force, some time after its start."""
+    """Return a node with the configuration in force and its startup period over."""
     state = reducer.new_state(started(name, now=now))
     reducer.reduce(state, started(name, now=now))
     state.started_at = now - startup_waits.STARTUP_MS
@@ -181,8 +181,8 @@
     )
 
 
-def call_terms(**changes: object) -> messages.CallMetadata:
-    """Return the metadata of a plain lookup."""
+def call_metadata(**changes: object) -> messages.CallMetadata:
+    """Return the metadata of a repeatable lookup without a key."""
     fields: dict[str, object] = {
         "service": "plans",
         "kind": "plan-status",
@@ -206,7 +206,7 @@
         now=now,
         hosted=ids.HostedId(hosted),
         sender=ids.NodeId("entry"),
-        metadata=metadata or call_terms(),
+        metadata=metadata or call_metadata(),
     )
 
 
@@ -242,17 +242,17 @@
     tokens: int = 0,
     level: int = 0,
     tree_level: int = 0,
-    told: messages.LoadReport | None = None,
+    load_report: messages.LoadReport | None = None,
     size: int = 0,
     now: float = START,
 ) -> events.AttemptAnswered:
-    """Return an upstream's answer."""
+    """Return an upstream's answer to an attempt."""
     return events.AttemptAnswered(
         now=now,
         attempt=ids.AttemptId(attempt),
         status=status,
         tokens=tokens,
-        report=told or report(level=level, tree_level=tree_level),
+        report=load_report or report(level=level, tree_level=tree_level),
         size=size,
     )
 
@@ -263,8 +263,8 @@
     tree_level: int = 0,
     load: int = 1,
     limit: int = 10,
-    scarce: str = "",
-    slot_ms: float = 0.0,
+    bottleneck: str = "",
+    bottleneck_slot_ms: float = 0.0,
 ) -> messages.LoadReport:
     """Return a load report."""
     return messages.LoadReport(
@@ -272,13 +272,16 @@
         tree_level=ids.Rank(tree_level),
         load=load,
         limit=limit,
-        bottleneck=ids.ServiceName(scarce),
-        bottleneck_slot_ms=slot_ms,
+        bottleneck=ids.ServiceName(bottleneck),
+        bottleneck_slot_ms=bottleneck_slot_ms,
     )
 
 
 def key_at(now: float, *, number: int | None = None) -> str:
-    """Return a UUIDv7 issued at a time; the same number gives the same key."""
+    """Return a UUIDv7 issued at a time.
+
+    :param number: the random bits of the key; they are drawn where it is None.
+    """
     low = int.from_bytes(os.urandom(7)) if number is None else number
     return str(uuid.UUID(int=(int(now) << 80) | (7 << 76) | (2 << 62) | low))
 
@@ -295,8 +298,8 @@
     return [effect for effect in out if isinstance(effect, kind)]
 
 
-def passed(state: states.State, duration: float) -> list[effects.Effect]:
-    """Advance time by ticks, and return every effect."""
+def advance(state: states.State, duration: float) -> list[effects.Effect]:
+    """Advance time in ticks of 10 ms and return every effect."""
     out: list[effects.Effect] = []
     end = state.now + duration
     while state.now < end:
--- a/tests/nocover/test_deadly_requests_for_real.py
+++ b/tests/nocover/test_deadly_requests_for_real.py
@@ -1,7 +1,7 @@
-"""A request that ends backend servers, on real processes.
+"""Quarantine of requests that crash backend servers, on real processes.
 
-What the fakes cannot show: that the connections of a process that ends break, that
-nothing listens at its address any more, and that its node tells the two apart.
+Covers what the fakes do not: broken connections of a crashed process, and refused
+connections to its address.
 """
 
 import collections.abc
@@ -21,9 +21,9 @@
     return httpx.get(node.entry + path, headers=headers, trust_env=False, timeout=10.0)
 
 
-def _until(holds: collections.abc.Callable[[], bool]) -> None:
+def _wait_until(condition: collections.abc.Callable[[], bool]) -> None:
     deadline = time.monotonic() + WAIT_S
-    while not holds():
+    while not condition():
         assert time.monotonic() < deadline
         time.sleep(0.05)
 
@@ -32,41 +32,41 @@
     return [n for name, n in cluster.nodes.items() if name.startswith("plans")]
 
 
-def _ended(node: processes.NodeProcess) -> bool:
+def _crashed(node: processes.NodeProcess) -> bool:
     return node.backend is not None and node.backend.poll() is not None
 
 
-def _kept_out(node: processes.NodeProcess) -> list[str]:
+def _quarantined(node: processes.NodeProcess) -> list[str]:
     rows = httpx.get(f"{node.admin}/quarantine", trust_env=False).json()
     return [row["request"] for row in rows]
 
 
-def test_a_request_that_ends_backend_servers_is_kept_out_until_it_is_cleared(
+def test_a_request_that_crashes_backend_servers_is_quarantined_until_cleared(
     fresh: processes.Cluster,
 ) -> None:
     fresh.add("plans-3", service="plans", zone="tsv", service_ms=5.0)
     fresh.wait_ready(members=4)
     entry = fresh.nodes["porting-1"]
-    # Its two repeats go to the other upstreams.
+    # The two repeats of the request go to the other upstreams.
     answer = _get(entry, DEADLY)
     assert answer.headers["gingerturn-outcome"] == "unknown"
-    assert all(_ended(node) for node in _upstreams(fresh))
+    assert all(_crashed(node) for node in _upstreams(fresh))
     for node in _upstreams(fresh):
         fresh.start_backend(node)
-    _until(lambda: all(_kept_out(node) for node in fresh.nodes.values()))
-    _until(lambda: _get(entry, "/status").status_code == 200)
+    _wait_until(lambda: all(_quarantined(node) for node in fresh.nodes.values()))
+    _wait_until(lambda: _get(entry, "/status").status_code == 200)
 
     refused = _get(entry, DEADLY)
     assert refused.status_code == 503
     assert refused.headers["gingerturn-outcome"] == "not-run"
     assert int(refused.headers["retry-after"]) > 1
-    told = command_line._run(
+    explanation = command_line._run(
         "why", refused.headers["gingerturn-decision"], "--admin", entry.admin
     )
-    assert "Quarantined: " in told.stdout
-    assert not any(_ended(node) for node in _upstreams(fresh))
+    assert "Quarantined: " in explanation.stdout
+    assert not any(_crashed(node) for node in _upstreams(fresh))
 
-    (request,) = _kept_out(entry)
+    (request,) = _quarantined(entry)
     shown = command_line._run("quarantine", "show", "--admin", entry.admin)
     assert f"{request}: 3 backend servers crashed" in shown.stdout
     other = command_line._run(
@@ -77,10 +77,10 @@
         "quarantine", "clear", request, "--author", "me", "--admin", entry.admin
     )
     assert cleared.returncode == 0
-    _until(lambda: not any(_kept_out(node) for node in fresh.nodes.values()))
+    _wait_until(lambda: not any(_quarantined(node) for node in fresh.nodes.values()))
 
 
-def test_a_killed_backend_server_keeps_nothing_harmless_out(
+def test_a_killed_backend_server_quarantines_no_harmless_request(
     fresh: processes.Cluster,
 ) -> None:
     entry = fresh.nodes["porting-1"]
@@ -90,5 +90,5 @@
             node.backend.kill()
             node.backend.wait(timeout=WAIT_S)
             fresh.start_backend(node)
-            _until(lambda: _get(entry, "/status").status_code == 200)
-    assert not any(_kept_out(node) for node in fresh.nodes.values())
+            _wait_until(lambda: _get(entry, "/status").status_code == 200)
+    assert not any(_quarantined(node) for node in fresh.nodes.values())
--- a/tests/quality/test_proofs_can_fail.py
+++ b/tests/quality/test_proofs_can_fail.py
@@ -1,8 +1,6 @@
-"""Each proof fails once its mechanism is taken out.
+"""Mutation checks: a scenario or a test fails once its mechanism is disabled.
 
-A check that passes with and without what it checks proves nothing. Every entry
-takes one mechanism out and names a scenario, or a played fault, that must then
-fail.
+Guards against checks that pass whether or not the mechanism works.
 """
 
 import collections.abc
@@ -38,7 +36,7 @@
 FOLDER = pathlib.Path(__file__).parents[1] / "scenarios"
 
 
-def _no_classes(patch: pytest.MonkeyPatch) -> None:
+def _without_importance(patch: pytest.MonkeyPatch) -> None:
     original = ranks.rank_of
     patch.setattr(
         ranks,
@@ -49,8 +47,8 @@
     )
 
 
-def _no_claims(patch: pytest.MonkeyPatch) -> None:
-    """Run a keyed call without winning its claim, as a lease holder would."""
+def _without_claims(patch: pytest.MonkeyPatch) -> None:
+    """Dispatch keyed calls without a claim, as a lease holder does."""
 
     def start(state: states.State, hosted: states.Hosted, out: states.Effects) -> None:
         admission.take_slot(state)
@@ -68,8 +66,8 @@
     patch.setattr(hosting, "start", start)
 
 
-def _loser_runs(patch: pytest.MonkeyPatch) -> None:
-    """Take one's own claim for the first, whatever came before it."""
+def _run_losing_claims(patch: pytest.MonkeyPatch) -> None:
+    """Treat a node's own claim as the first one in the log."""
 
     def on_record(
         state: states.State, batch: messages.ClaimBatch, out: states.Effects
@@ -84,14 +82,14 @@
     patch.setattr(claims, "on_record", on_record)
 
 
-def _repeats_not_known(patch: pytest.MonkeyPatch) -> None:
+def _without_repeat_detection(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(replies, "handle_repeat", lambda state, hosted, out: False)
     patch.setattr(hosting, "_handle_known_key", lambda state, hosted, entry, out: False)
-    _no_claims(patch)
+    _without_claims(patch)
 
 
 def _always_not_run(patch: pytest.MonkeyPatch) -> None:
-    """Say ``not-run`` of every call that got no answer."""
+    """Report ``not-run`` for every call without an answer."""
 
     class _Always:
         NOT_RUN = messages.Outcome.NOT_RUN
@@ -109,36 +107,36 @@
     patch.setattr(refusals, "messages", _Messages)
 
 
-def _leaving_takes_work(patch: pytest.MonkeyPatch) -> None:
+def _accept_while_leaving(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(hosting, "_unavailable_rule", lambda state, hosted: None)
     patch.setattr("gingerturn.internal.core.membership.push", lambda state, out: None)
 
 
-def _no_levels_and_no_order(patch: pytest.MonkeyPatch) -> None:
-    """Pass everything through, in the order of arrival."""
+def _without_admission(patch: pytest.MonkeyPatch) -> None:
+    """Admit every call in the order of arrival."""
     patch.setattr(admission, "has_slot", lambda state: True)
     patch.setattr(hosting, "_worth_starting", lambda state, hosted, out: True)
     patch.setattr(admission, "tree_level", lambda state, kind: ranks.LOWEST)
 
 
-def _one_is_drawn(patch: pytest.MonkeyPatch) -> None:
-    """Choose at random, which is the worst case. Where several are weighed, what an
-    entry sent itself keeps it from a frozen one, whether or not that is suspected."""
+def _random_upstream(patch: pytest.MonkeyPatch) -> None:
+    """Choose upstreams at random. In a comparison, the entry node's own outstanding
+    calls would steer it away from a paused node whether or not it is suspected."""
     patch.setattr(routing, "FULL_COMPARISON_LIMIT", 0)
     patch.setattr(routing, "SAME_ZONE_SAMPLE", 0)
     patch.setattr(routing, "ANY_ZONE_SAMPLE", 1)
 
 
-def _no_suspicion(patch: pytest.MonkeyPatch) -> None:
-    _one_is_drawn(patch)
+def _without_suspicion(patch: pytest.MonkeyPatch) -> None:
+    _random_upstream(patch)
     patch.setattr(
         "gingerturn.internal.core.membership._suspect", lambda state, node, out: None
     )
     patch.setattr(upstreams, "record_failure", lambda state, node: False)
 
 
-def _stops_at_once(patch: pytest.MonkeyPatch) -> None:
-    """Exit on the first signal, without finishing or lingering."""
+def _stop_immediately(patch: pytest.MonkeyPatch) -> None:
+    """Exit on the first signal without a drain."""
 
     def stop(state: states.State, out: states.Effects) -> None:
         state.stopped = True
@@ -150,43 +148,43 @@
 SCENARIOS: list[
     tuple[str, collections.abc.Callable[[pytest.MonkeyPatch], None], str]
 ] = [
-    ("shedding-order", _no_classes, "complete provision"),
-    ("storm", _no_levels_and_no_order, "complete plan-status 17 25"),
-    ("twice-over", _repeats_not_known, "twice"),
-    ("drain-busy", _stops_at_once, "cut plan-status"),
+    ("shedding-order", _without_importance, "complete provision"),
+    ("storm", _without_admission, "complete plan-status 17 25"),
+    ("twice-over", _without_repeat_detection, "twice"),
+    ("drain-busy", _stop_immediately, "cut plan-status"),
     ("pause", _always_not_run, "false_not_run"),
-    ("drain", _leaving_takes_work, "new_work"),
-    ("pause", _no_suspicion, "late plan-status"),
+    ("drain", _accept_while_leaving, "new_work"),
+    ("pause", _without_suspicion, "late plan-status"),
 ]
 
 
 @pytest.mark.parametrize(
-    ("name", "take_out", "told"),
+    ("name", "disable", "failed_expectation"),
     SCENARIOS,
     ids=[f"{name}-{f.__name__.strip('_')}" for name, f, _ in SCENARIOS],
 )
 def test_scenario_fails_without_the_mechanism(
     monkeypatch: pytest.MonkeyPatch,
     name: str,
-    take_out: collections.abc.Callable[[pytest.MonkeyPatch], None],
-    told: str,
+    disable: collections.abc.Callable[[pytest.MonkeyPatch], None],
+    failed_expectation: str,
 ) -> None:
-    take_out(monkeypatch)
+    disable(monkeypatch)
     failures = scenario.play(FOLDER / f"{name}.scenario")
-    assert any(told in failure for failure in failures), failures
+    assert any(failed_expectation in failure for failure in failures), failures
 
 
-def test_frozen_nodes_are_passed_over_also_where_one_is_drawn(
+def test_paused_nodes_are_avoided_with_a_random_choice_too(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    _one_is_drawn(monkeypatch)
+    _random_upstream(monkeypatch)
     assert scenario.play(FOLDER / "pause.scenario") == []
 
 
 def test_the_duplicate_proof_fails_when_a_loser_runs(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    _loser_runs(monkeypatch)
+    _run_losing_claims(monkeypatch)
     assert under_load.run_key_at_two_homes() == 2
 
 
@@ -210,13 +208,13 @@
         of_revisions.test_of_two_on_the_same_base_the_first_in_the_log_wins_everywhere()
 
 
-def test_the_retention_proof_fails_when_a_trimmed_log_counts_as_whole(
+def test_the_retention_proof_fails_when_a_trimmed_log_counts_as_complete(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    def based(state: states.State, *, first: int, oldest: int, gap: bool) -> None:
+    def on_read(state: states.State, *, first: int, oldest: int, gap: bool) -> None:
         state.revisions.complete = True
 
-    monkeypatch.setattr(revisions, "on_read", based)
+    monkeypatch.setattr(revisions, "on_read", on_read)
     with pytest.raises(AssertionError):
         of_revisions.test_a_reader_of_a_trimmed_log_decides_nothing_before_a_snapshot()
 
