--- a/tooling/gingerturn_standins/platform_store.py
+++ b/tooling/gingerturn_standins/platform_store.py
@@ -1,9 +1,9 @@
-"""A stand-in for the platform's metadata store: keyed topics, and its faults.
+"""A stand-in for the platform's metadata store: keyed topics and injected faults.
 
-``POST /control`` sets the faults; ``POST /operator`` writes the operator's
-configuration, which nodes may only read. ``POST /copy`` makes a backup of all topics,
-and ``POST /restore`` goes back to it: what was written since is gone, and the epoch
-that each answer tells rises.
+``POST /control`` sets faults; ``POST /operator`` writes the operator's configuration,
+which is read-only for nodes. ``POST /copy`` makes a backup of all topics and
+``POST /restore`` restores it: records written since are lost, and the epoch that is
+sent with each answer rises.
 """
 
 import asyncio
@@ -22,18 +22,18 @@
 from gingerturn_standins import http_server
 
 _LENGTH = struct.Struct(">I")
-_ENDS = struct.Struct(">QQ")
+_OFFSETS = struct.Struct(">QQ")
 READ_ONLY = frozenset({"keyed.op", "keyed.servers"})
 
 
 @dataclasses.dataclass
 class Faults:
-    """The faults that can be set.
+    """Faults that can be injected.
 
     :param down: refuse everything with 503.
     :param silent: accept requests and never answer.
     :param delay_ms: wait before each answer.
-    :param lose_answers: the next so many appends take effect without an answer.
+    :param lose_answers: number of following appends that take effect unanswered.
     """
 
     down: bool = False
@@ -71,8 +71,8 @@
         self.changed.set()
         self.changed = asyncio.Event()
 
-    def forget(self, horizon: float) -> None:
-        """Drop records older than a time; the newest of each key stay."""
+    def drop_before(self, horizon: float) -> None:
+        """Drop records older than a time, but keep the newest of each key."""
         while self.times and self.times[0] < horizon:
             del self.times[0]
             del self.records[0]
@@ -82,19 +82,19 @@
 class Store:
     """The store.
 
-    :param keep_s: records older than this are dropped.
+    :param retention_s: age after which records are dropped.
     """
 
-    def __init__(self, *, keep_s: float = 300.0) -> None:
+    def __init__(self, *, retention_s: float = 300.0) -> None:
         self.faults = Faults()
         self.calls: collections.Counter[str] = collections.Counter()
         self._topics: dict[str, Topic] = {}
-        self._copy: dict[str, Topic] = {}
+        self._backup: dict[str, Topic] = {}
         self._epoch = 1
-        self._keep_s = keep_s
+        self._retention_s = retention_s
 
     async def handle(self, request: http_server.Request) -> http_server.Response:
-        """Serve a request, and tell the epoch."""
+        """Serve a request and add the epoch to the response."""
         response = await self._serve(request)
         response.headers["Store-Era"] = str(self._epoch)
         return response
@@ -108,7 +108,7 @@
             self._topic("keyed.op").append(b"\x06config" + request.body, keyed=True)
             return http_server.Response(200, b"{}")
         if parts.path == "/copy":
-            self._copy = _copied(self._topics)
+            self._backup = _copy_topics(self._topics)
             return http_server.Response(200, b"{}")
         if parts.path == "/restore":
             return self._restore()
@@ -120,7 +120,7 @@
         if self.faults.delay_ms:
             await asyncio.sleep(self.faults.delay_ms / 1000.0)
         topic = self._topic(query["topic"])
-        topic.forget(time.monotonic() - self._keep_s)
+        topic.drop_before(time.monotonic() - self._retention_s)
         if parts.path == "/log-append":
             return self._append(query, topic, request.body)
         if parts.path == "/log-read":
@@ -133,10 +133,10 @@
         return self._topics.setdefault(name, Topic())
 
     def _restore(self) -> http_server.Response:
-        before, self._topics = self._topics, _copied(self._copy)
+        before, self._topics = self._topics, _copy_topics(self._backup)
         self._epoch += 1
         for topic in before.values():
-            # Reads that were held open end.
+            # End the open long polls.
             topic.changed.set()
         return http_server.Response(200, b"{}")
 
@@ -144,11 +144,11 @@
         if request.method == "POST":
             for name, value in json.loads(request.body).items():
                 if name == "keep_s":
-                    self._keep_s = value
+                    self._retention_s = value
                 else:
                     setattr(self.faults, name, value)
-        told = {**dataclasses.asdict(self.faults), "calls": self.calls}
-        return http_server.Response(200, json.dumps(told).encode())
+        reply = {**dataclasses.asdict(self.faults), "calls": self.calls}
+        return http_server.Response(200, json.dumps(reply).encode())
 
     def _append(
         self, query: dict[str, str], topic: Topic, body: bytes
@@ -173,10 +173,10 @@
         return _json(200, {"offset": offset, "end_offset": topic.end})
 
     async def _read(self, query: dict[str, str], topic: Topic) -> http_server.Response:
-        wanted = int(query["from"])
-        if not topic.first <= wanted <= topic.end:
+        start = int(query["from"])
+        if not topic.first <= start <= topic.end:
             return _json(410, {"first_offset": topic.first})
-        if wanted >= topic.end and int(query.get("wait_ms", 0)):
+        if start >= topic.end and int(query.get("wait_ms", 0)):
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(int(query["wait_ms"]) / 1000.0):
                     await topic.changed.wait()
@@ -184,9 +184,11 @@
             raise http_server.NoAnswer
         if self.faults.down:
             return http_server.Response(503, b"{}")
-        found = topic.records[max(0, wanted - topic.first) :]
-        content = b"".join(_LENGTH.pack(len(record)) + record for record in found)
-        return http_server.Response(200, _ENDS.pack(topic.end, topic.first) + content)
+        records = topic.records[max(0, start - topic.first) :]
+        content = b"".join(_LENGTH.pack(len(record)) + record for record in records)
+        return http_server.Response(
+            200, _OFFSETS.pack(topic.end, topic.first) + content
+        )
 
     def _newest(self, query: dict[str, str], topic: Topic) -> http_server.Response:
         after = query.get("after", "")
@@ -200,12 +202,12 @@
             }
             for key in page
         ]
-        told = {"items": items, "has_more": len(keys) > 500, "end_offset": topic.end}
-        return _json(200, told)
+        reply = {"items": items, "has_more": len(keys) > 500, "end_offset": topic.end}
+        return _json(200, reply)
 
 
-def _copied(topics: dict[str, Topic]) -> dict[str, Topic]:
-    """Return topics with the same records, for which nobody waits yet."""
+def _copy_topics(topics: dict[str, Topic]) -> dict[str, Topic]:
+    """Return copies of topics, without their waiting reads."""
     return {
         name: Topic(
             first=topic.first,
@@ -217,14 +219,14 @@
     }
 
 
-def _json(status: int, told: dict[str, object]) -> http_server.Response:
-    return http_server.Response(status, json.dumps(told).encode())
+def _json(status: int, reply: dict[str, object]) -> http_server.Response:
+    return http_server.Response(status, json.dumps(reply).encode())
 
 
 @click.command()
 @click.option("--port", type=int, required=True)
 def main(port: int) -> None:
-    """Run the store's stand-in."""
+    """Run the stand-in of the store."""
 
     async def run() -> None:
         server = await http_server.serve(Store().handle, "127.0.0.1", port)
--- a/tooling/gingerturn_standins/platform_upstream.py
+++ b/tooling/gingerturn_standins/platform_upstream.py
@@ -3,10 +3,10 @@
 ``POST /control`` sets: ``state`` (``draining``), ``refuse`` (answer 503 with
 ``Not-Executed``), ``work_ms``, ``silent`` (no more heartbeats), ``instance``, and
 ``cut`` (break the connection in the middle of each answer). ``GET /counts`` tells how
-often each request id ran, and what came with the last one.
+often each request id ran, and the headers of the last one.
 
-Each arrival, run and acknowledged leaving is also written to standard output as a line
-of JSON, the run before the work on it begins.
+Each arrival, run and acknowledged drain is also written to standard output as a line of
+JSON, a run before its work begins.
 """
 
 import asyncio
@@ -21,16 +21,17 @@
 
 from gingerturn_standins import http_server
 
-BEAT_S = 0.2
+HEARTBEAT_INTERVAL_S = 0.2
 DEADLY_PATH = "/deadly"
 DEADLY_EXIT = 70
-"""A request with this in its path ends the process once its work is done."""
+"""Exit status after a request with ``DEADLY_PATH`` in its path, which crashes the
+process after its work."""
 
 
 class Upstream:
     """The stand-in.
 
-    :param address: where it listens, as it tells in heartbeats.
+    :param address: address that its heartbeats announce.
     """
 
     def __init__(self, *, service: str, address: str, instance: str) -> None:
@@ -54,12 +55,12 @@
                 setattr(self, name, value)
             return http_server.Response(200, b"{}")
         if request.target == "/counts":
-            told = {
+            counts = {
                 "runs": self.runs,
                 "last": self.last,
                 "acknowledged": self.acknowledged,
             }
-            return http_server.Response(200, json.dumps(told).encode())
+            return http_server.Response(200, json.dumps(counts).encode())
         return await self._serve(request)
 
     async def _serve(self, request: http_server.Request) -> http_server.Response:
@@ -84,8 +85,8 @@
         headers = {**echoed, "Response-Signature": f"signed.{number}"}
         return http_server.Response(200, body, headers, cut=self.cut)
 
-    def acknowledge(self, state: str) -> None:
-        """Take in that a heartbeat with this state was acknowledged."""
+    def on_acknowledged(self, state: str) -> None:
+        """Record that a heartbeat with this state was acknowledged."""
         if state == "draining" and state not in self.acknowledged:
             self._write("acknowledged", "")
         self.acknowledged.append(state)
@@ -100,7 +101,7 @@
         }
         print(json.dumps(line, separators=(",", ":")), flush=True)
 
-    def beat(self) -> dict[str, object]:
+    def next_heartbeat(self) -> dict[str, object]:
         """Return the next heartbeat."""
         self.sequence += 1
         return {
@@ -119,21 +120,21 @@
         }
 
 
-async def send_beats(upstream: Upstream, control: str) -> None:
+async def send_heartbeats(upstream: Upstream, control: str) -> None:
     """Send heartbeats until cancelled."""
     async with httpx.AsyncClient(timeout=1.0, trust_env=False) as client:
         while True:
-            await asyncio.sleep(BEAT_S)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
             if upstream.silent:
                 continue
             state = upstream.state
             url = f"http://{control}/instances/{upstream.instance}/heartbeat"
             try:
-                reply = await client.post(url, json=upstream.beat())
+                reply = await client.post(url, json=upstream.next_heartbeat())
             except httpx.HTTPError:
                 continue
             if reply.status_code == 200:
-                upstream.acknowledge(state)
+                upstream.on_acknowledged(state)
 
 
 @click.command()
@@ -154,9 +155,9 @@
         server = await http_server.serve(upstream.handle, "127.0.0.1", port)
         stop = asyncio.Event()
         asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stop.set)
-        beats = asyncio.create_task(send_beats(upstream, control))
+        heartbeats = asyncio.create_task(send_heartbeats(upstream, control))
         await stop.wait()
-        beats.cancel()
+        heartbeats.cancel()
         server.close()
 
     asyncio.run(run())
--- a/tooling/gingerturn_standins/processes.py
+++ b/tooling/gingerturn_standins/processes.py
@@ -1,6 +1,6 @@
-"""Real processes for demos and tests: a log, nodes and backend servers.
+"""Real processes for demonstrations and tests: a log, nodes and backend servers.
 
-Only the caller of this module starts processes; the product itself starts none.
+Only callers of this module start processes; the product starts none.
 """
 
 import contextlib
@@ -23,28 +23,27 @@
 
 _FIRST_PORT = 12_000
 _RANGE_FILE = pathlib.Path("/proc/sys/net/ipv4/ip_local_port_range")
-_given = itertools.count(random.SystemRandom().randrange(20_000))
-"""Begins anywhere, so that two runs at the same time seldom try the same ports."""
+_port_numbers = itertools.count(random.SystemRandom().randrange(20_000))
+"""Starts at a random number, so that concurrent runs rarely try the same ports."""
 
 
 def free_ports(count: int) -> list[int]:
     """Return ports that are free at present on the loopback address, TCP and UDP.
 
-    They lie below those that the system gives to outgoing connections. Ports that it
-    gave out as free were taken again, as such, before the node that was to listen on
-    them had started: of 40 nodes one or two then never came up.
+    They lie below the ephemeral range: the system could give a port of that range to an
+    outgoing connection before the node listens on it.
     """
     span = int(_RANGE_FILE.read_text().split()[0]) - _FIRST_PORT
     ports: list[int] = []
     while len(ports) < count:
-        port = _FIRST_PORT + next(_given) * _STRIDE % span
+        port = _FIRST_PORT + next(_port_numbers) * _STRIDE % span
         if is_free(port):
             ports.append(port)
     return ports
 
 
 def is_free(port: int) -> bool:
-    """Tell whether a port is free at present."""
+    """Return whether a port is free at present."""
     for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
         with socket.socket(type=kind) as probe:
             try:
@@ -55,16 +54,16 @@
 
 
 _STRIDE = 7
-"""Prime to any span in use, so that every port has its turn before one comes again."""
+"""Coprime to the span, so that every port is tried before one is repeated."""
 
 
 class NotStarted(Exception):
-    """A node did not come up; the text names it."""
+    """Raised when a node did not come up; the text names it."""
 
 
 @dataclasses.dataclass
 class NodeProcess:
-    """A node and the backend server beside it."""
+    """A node and its backend server."""
 
     name: str
     calls_port: int
@@ -91,7 +90,7 @@
 
 
 class Cluster:
-    """Processes that belong together; use it as a context manager.
+    """The processes of a cluster; use it as a context manager.
 
     :param folder: where settings and logs are written.
     """
@@ -136,7 +135,7 @@
         backend: bool = True,
         options: tuple[str, ...] = (),
     ) -> NodeProcess:
-        """Start a node and a backend server beside it."""
+        """Start a node and its backend server."""
         calls_port, peers_port, admin_port, backend_port = free_ports(4)
         path = self.folder / f"{name}.toml"
         path.write_text(
@@ -167,7 +166,7 @@
         return started
 
     def start_backend(self, node: NodeProcess) -> None:
-        """Start the backend server beside a node, also one that has ended."""
+        """Start a node's backend server, also after it has exited."""
         node.backend = self._spawn(f"{node.name}.backend", *node.backend_arguments)
 
     def wait_up(self, node: NodeProcess, timeout: float = 15.0) -> None:
@@ -187,16 +186,16 @@
             time.sleep(0.05)
 
     def wait_ready(self, *, members: int, timeout: float = 20.0) -> None:
-        """Wait until every node knows so many upstreams."""
+        """Wait until every node knows at least ``members`` upstreams."""
         deadline = time.monotonic() + timeout
         for node in self.nodes.values():
             while True:
                 status = httpx.get(f"{node.admin}/status", trust_env=False).json()
-                offered = [m for m in status["members"] if m["service"]]
-                if len(offered) >= members:
+                upstreams = [m for m in status["members"] if m["service"]]
+                if len(upstreams) >= members:
                     break
                 if time.monotonic() > deadline:
-                    raise TimeoutError(f"{node.name} knows {len(offered)} upstreams")
+                    raise TimeoutError(f"{node.name} knows {len(upstreams)} upstreams")
                 time.sleep(0.05)
 
     def publish(self, team: str, text: str) -> int:
@@ -235,7 +234,7 @@
         httpx.post(f"{self.log_url}/control", json=faults, trust_env=False)
 
     def close(self) -> None:
-        """End every process."""
+        """Kill every process."""
         for process in self._processes:
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
