--- a/benchmarks/deployments.py
+++ b/benchmarks/deployments.py
@@ -1,4 +1,4 @@
-"""The users' deployments as the model plays them: services, kinds of request, load."""
+"""Models of the users' deployments: services, kinds of request and load."""
 
 import dataclasses
 
@@ -7,8 +7,8 @@
 class Kind:
     """A kind of request and its route.
 
-    :param per_s: requests a second; 0 for one that only upstreams make.
-    :param aim_ms: time within which an answer has its full worth.
+    :param rate_per_s: requests per second; 0 for one that only upstreams make.
+    :param target_ms: latency within which an answer has its full worth.
     :param budget_ms: time after which a caller gives up.
     """
 
@@ -35,7 +35,8 @@
 class Service:
     """A service; one entry of ``speeds`` for each upstream.
 
-    :param crowded: work takes so many times as long with nearly every slot taken.
+    :param contention_factor: factor on the service time while nearly every slot is
+        busy.
     """
 
     name: str
@@ -48,8 +49,8 @@
 class Site:
     """A deployment.
 
-    :param scarce: the service that every tree ends at.
-    :param retry_slack: repeats that are allowed in a window beside their ratio.
+    :param bottleneck: the service at the end of every call tree.
+    :param retry_slack: repeats allowed in a window in addition to the retry ratio.
     """
 
     name: str
@@ -239,7 +240,7 @@
 
     :param nodes: the load, the services' shares of the nodes and the slots of each
         service as a whole stay the same, and upstreams are alike: with more nodes an
-        entry sends less, and hears each of more upstreams less often.
+        entry node sends less, and gets a report of each upstream less often.
     """
     ratio = nodes / LARGE_NODES
     services = []
--- a/benchmarks/regress.py
+++ b/benchmarks/regress.py
@@ -1,10 +1,8 @@
-"""Plays the regression sites with the users' bench, one after the other, against the
-last landing.
+"""Score the regression sites with the users' bench, against the recorded scores.
 
-``make regress BENCH=PROGRAM SITES="FILE FILE"`` plays a full score of each site, by
-default one day at a time, since a large one takes some gigabytes, and prints a line a
-site: score, gate, mean worth of the days with trouble, each beside the last landing's.
-``--record`` keeps what was printed as the next comparison.
+``make regress BENCH=PROGRAM SITES="FILE FILE"`` scores each site, by default one
+day at a time to bound memory, and prints a line a site: score, gate and mean worth of
+the days with faults, beside the recorded ones. ``--record`` records the new scores.
 """
 
 import json
@@ -18,7 +16,7 @@
 
 RECORDED = pathlib.Path(__file__).with_name("landed.json")
 MAX_DROP = 0.03
-"""A site that falls by more has lost something; less is the spread of a score."""
+"""Largest drop of a site's score that is not a regression."""
 
 _SCORE = re.compile(
     r"score on the standard days of (?P<site>\S+) \(.*?\): (?P<score>[\d.]+)"
@@ -29,10 +27,10 @@
 
 
 class SiteScore(msgspec.Struct, frozen=True):
-    """What one score of a site told.
+    """The score of a site.
 
-    :param mean_worth: of the standard days with trouble.
-    :param broken: days that broke a rule or were given up.
+    :param mean_worth: of the standard days with faults.
+    :param broken: days that broke a rule or were aborted.
     """
 
     site: str
@@ -43,7 +41,7 @@
 
 
 def parse(text: str) -> SiteScore:
-    """Return what the output of a score says.
+    """Return the score in the output of the bench.
 
     :raises ValueError: for an output without a score.
     """
@@ -66,7 +64,7 @@
 
 
 def line(played: SiteScore, before: SiteScore | None) -> str:
-    """Return one site's line."""
+    """Return the line of a site."""
     gate = "passed" if played.gate else "FAILED"
     told = (
         f"{played.site:<24} score {played.score:.3f}, gate {gate},"
@@ -82,13 +80,13 @@
 
 
 def recorded_scores() -> dict[str, SiteScore]:
-    """Return what the sites scored at the last landing."""
+    """Return the recorded scores by site."""
     kept = msgspec.json.decode(RECORDED.read_bytes(), type=list[SiteScore])
     return {played.site: played for played in kept}
 
 
 def record_score(played: SiteScore) -> None:
-    """Keep a site's score for the next comparison."""
+    """Record the score of a site."""
     all_sites = {**recorded_scores(), played.site: played}
     told = [msgspec.to_builtins(all_sites[site]) for site in sorted(all_sites)]
     RECORDED.write_text(json.dumps(told, indent=2) + "\n")
@@ -97,7 +95,7 @@
 @click.command()
 @click.option("--bench", required=True, help="The users' bench program.")
 @click.option("--jobs", default=1, help="Days played at once.")
-@click.option("--record", is_flag=True, help="Keep the scores for the next time.")
+@click.option("--record", is_flag=True, help="Record the scores.")
 @click.argument("sites", nargs=-1, required=True)
 def main(bench: str, jobs: int, record: bool, sites: tuple[str, ...]) -> None:
     """Score each site file in turn."""
--- a/benchmarks/sites.py
+++ b/benchmarks/sites.py
@@ -1,10 +1,9 @@
-"""The users' sites on the fake clock: routes, trees, callers that come back.
+"""The users' sites on the fake clock: routes, call trees and callers that retry.
 
 ``python -m benchmarks.sites`` plays every scenario in seconds and prints, for each kind
 of request, which share was served, and how much of what reached the scarcest service
-belonged to requests that were served. A decision can be tried here before a day of the
-users' bench is spent on it; docs/measurements.md says where the two agree and where
-this one errs.
+belonged to requests that were served. It is a quick trial for a change before the
+users' bench; docs/measurements.md compares the two.
 """
 
 import collections
@@ -26,10 +25,10 @@
 FAULT_START_MS = 4_000.0
 FAULT_END_MS = 9_000.0
 MEASURED_FROM_MS = 2_000.0
-"""The first seconds tell how a run begins, not how it goes on."""
+"""Start of the measurement, after the warm-up."""
 
 RETRY_WAIT_SHARE = 1.0 / 3
-"""Callers wait at most this part of the time that they have left."""
+"""Longest wait of a caller before a retry, as a share of its remaining time."""
 
 
 def table(site: deployments.Site) -> routes.RouteTable:
@@ -76,9 +75,9 @@
 
 @dataclasses.dataclass
 class Tally:
-    """What became of the requests of one kind.
+    """Results of the requests of one kind.
 
-    :param again: came back after a refusal and were not served then either.
+    :param failed_again: requests retried after a refusal that were not served either.
     """
 
     sent: int = 0
@@ -94,15 +93,14 @@
 
 @dataclasses.dataclass
 class Result:
-    """What one run measured.
-
-    :param worth: of the worth that was asked for, before any price.
-    :param again: of the worth that was asked for, that of callers who came back after
-        a refusal and were not served then either.
-    :param useful: share of the calls that ran at the scarcest service for requests that
-        were served.
-    :param repeats: calls of the scarcest service that went to an upstream again, over
-        all its calls; operators allow a fifth.
+    """The results of one run.
+
+    :param worth: share of the offered worth that was earned.
+    :param failed_again: share of the offered worth that was retried after a refusal and
+        not served either.
+    :param useful: share of the calls run at the bottleneck service that belong to
+        served requests.
+    :param repeats: repeated attempts at the bottleneck service, per call.
     """
 
     tallies: dict[str, Tally]
@@ -152,13 +150,13 @@
         self.world.on_root_end = self._on_end
 
     def slow_down(self, service: str, factor: float) -> None:
-        """Let the upstreams of a service take so many times as long as they do."""
+        """Multiply the service times of the upstreams of a service."""
         speeds = next(s.speeds for s in self.site.services if s.name == service)
         for number, speed in enumerate(speeds, 1):
             self.world.nodes[f"{service}-{number}"].backend.slow = factor / speed
 
     def refuse_calls(self, service: str, share: float) -> None:
-        """Let the upstreams of a service turn calls away though they have room."""
+        """Let the upstreams of a service refuse calls although slots are free."""
         for node in self.world.nodes.values():
             if node.backend.spec.name == service:
                 node.backend.refused_share = share
@@ -246,24 +244,24 @@
 
 
 def overloaded(*, seconds: float) -> Run:
-    """Return a run of brolga whose scarcest service is slow from its start."""
+    """Return a run of brolga whose bottleneck service is slow from the start."""
     run = Run(deployments.BROLGA, seed=1, seconds=seconds)
     run.slow_down(deployments.BROLGA.bottleneck, 8.0)
     return run
 
 
 def _calm(run: Run) -> None:
-    """Nothing happens."""
+    """Inject no fault."""
 
 
 def _burst(run: Run) -> None:
-    """Demand rises by four fifths for a while."""
+    """Raise demand by 80 % during the fault."""
     run.world.at(FAULT_START_MS, lambda: setattr(run, "demand", 1.8))
     run.world.at(FAULT_END_MS, lambda: setattr(run, "demand", 1.0))
 
 
 def _most_lost(run: Run) -> None:
-    """The scarcest service loses all upstreams but the first, for good."""
+    """Kill all upstreams of the bottleneck service but the first."""
     run.demand = 1.3
     for number in range(2, 1 + len(_bottleneck_of(run.site).speeds)):
         name = f"{run.site.bottleneck}-{number}"
@@ -271,7 +269,7 @@
 
 
 def _slow(run: Run) -> None:
-    """The scarcest service runs at a fifth of its speed for a while."""
+    """Slow the bottleneck service to a fifth of its speed."""
     scarce = run.site.bottleneck
     run.world.at(FAULT_START_MS, lambda: run.slow_down(scarce, 5.0))
     run.world.at(FAULT_END_MS, lambda: run.slow_down(scarce, 1.0))
@@ -282,23 +280,24 @@
 
 
 def _refusing(run: Run) -> None:
-    """Every upstream of the scarcest service turns away over half of its calls for a
-    while, though it has room."""
+    """Let the bottleneck service refuse over half of its calls for a while."""
     scarce = run.site.bottleneck
     run.world.at(FAULT_START_MS, lambda: run.refuse_calls(scarce, 0.55))
     run.world.at(FAULT_END_MS, lambda: run.refuse_calls(scarce, 0.0))
 
 
 def _one_lost(run: Run) -> None:
-    """The scarcest service loses one upstream, for good, while demand is high."""
+    """Kill one upstream of the bottleneck service while demand is high."""
     run.demand = 1.5
     name = f"{run.site.bottleneck}-{len(_bottleneck_of(run.site).speeds)}"
     run.world.at(FAULT_START_MS, lambda: run.world.kill(name))
 
 
 def _one_slow(run: Run) -> None:
-    """One upstream of the scarcest service runs at a twelfth of its speed for a while;
-    the others can carry the load."""
+    """Slow one upstream of the bottleneck service to a twelfth of its speed.
+
+    The others can carry the load.
+    """
     node = run.world.nodes[f"{run.site.bottleneck}-1"]
     usual = node.backend.slow
     run.world.at(FAULT_START_MS, lambda: setattr(node.backend, "slow", 12.0 * usual))
@@ -327,7 +326,7 @@
 
 
 def run_case(case: Case) -> Result:
-    """Make one run; in a process of its own, since variants change it."""
+    """Make one run, in its own process, since variants patch modules."""
     variants.VARIANTS[case.variant]()
     run = Run(deployments.SITES[case.site], seed=case.seed)
     SCENARIOS[case.scenario](run)
@@ -335,7 +334,7 @@
 
 
 def line(case: Case, result: Result) -> str:
-    """Return what a run measured as one line."""
+    """Return the results of a run as one line."""
     shares = ", ".join(f"{k} {t.share:.3f}" for k, t in result.tallies.items())
     return (
         f"{case.site:<10} {case.scenario:<8} {case.variant:<14} {case.seed:>4}"
--- a/tooling/gingerturn_demo/__main__.py
+++ b/tooling/gingerturn_demo/__main__.py
@@ -17,7 +17,7 @@
     help="Folder for logs, report and picture.",
 )
 def main(name: str, out: pathlib.Path) -> None:
-    """Run a user's graph at small size through a surge and its recovery."""
+    """Run a user's graph at reduced size through a surge and its recovery."""
     folder = out / name
     folder.mkdir(parents=True, exist_ok=True)
     outcome = scene.play(scene.SCENARIOS[name](), folder)
--- a/tooling/gingerturn_demo/scene.py
+++ b/tooling/gingerturn_demo/scene.py
@@ -1,4 +1,4 @@
-"""One demonstration: processes, load, a trigger, recovery, and what was seen."""
+"""Scenarios of the demonstration: processes, load, a trigger and recovery."""
 
 import asyncio
 import collections
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Upstreams:
-    """A service of the demonstration."""
+    """A service of a scenario and the zones of its upstreams."""
 
     service: str
     zones: tuple[str, ...]
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Load:
-    """One kind of root and how many of it a second, normally and in the surge."""
+    """A kind of root request and its rate per second, normally and in the surge."""
 
     name: str
     service: str
@@ -48,7 +48,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Scenario:
-    """What is to be played.
+    """A scenario to play.
 
     :param deepest: service that is slowed while the surge lasts.
     """
@@ -62,7 +62,7 @@
 
 @dataclasses.dataclass
 class Outcome:
-    """What was seen; lists hold one number a second."""
+    """The result of a scenario; lists hold one number a second."""
 
     scenario: Scenario
     goodput: dict[str, list[int]]
@@ -144,12 +144,12 @@
 
 
 class _LoadGenerator:
-    """Callers that retry hard, and their count."""
+    """Callers that retry at once, and counts of their requests."""
 
-    def __init__(self, scene: Scenario, entries: list[str], seconds: int) -> None:
-        self.scenario = scene
+    def __init__(self, scenario: Scenario, entries: list[str], seconds: int) -> None:
+        self.scenario = scenario
         self.entries = entries
-        names = [load.name for load in scene.loads]
+        names = [load.name for load in scenario.loads]
         self.goodput = {name: [0] * (seconds + 30) for name in names}
         self.refused = {name: [0] * (seconds + 30) for name in names}
         self.sent = dict.fromkeys(names, 0)
@@ -205,7 +205,7 @@
                 self.complete[load.name] += 1
                 return
             self._record_failure(load, reply, begun)
-        # Callers retry at once, whatever Retry-After says; that is the point here.
+        # Callers retry at once and ignore Retry-After.
 
     def _record_failure(self, load: Load, reply: httpx.Response, begun: float) -> None:
         self.refused[load.name][self.second()] += 1
@@ -218,10 +218,10 @@
             self.unknown += 1
 
 
-def play(scene: Scenario, folder: pathlib.Path) -> Outcome:
-    """Play a scene and return what was seen."""
+def play(scenario: Scenario, folder: pathlib.Path) -> Outcome:
+    """Play a scenario and return its result."""
     with processes.Cluster(folder) as cluster:
-        for upstreams in scene.upstreams:
+        for upstreams in scenario.upstreams:
             for index, zone in enumerate(upstreams.zones):
                 cluster.add(
                     f"{upstreams.service}-{index + 1}",
@@ -236,38 +236,38 @@
             processes.wait_for(f"{node.admin}/status")
         cluster.wait_ready(members=len(cluster.nodes))
         begun = time.monotonic()
-        cluster.publish(scene.name, scene.document)
+        cluster.publish(scenario.name, scenario.document)
         revision_s = time.monotonic() - begun
         time.sleep(0.3)
-        return asyncio.run(_play(scene, cluster, revision_s))
+        return asyncio.run(_play(scenario, cluster, revision_s))
 
 
 async def _play(
-    scene: Scenario, cluster: processes.Cluster, revision_s: float
+    scenario: Scenario, cluster: processes.Cluster, revision_s: float
 ) -> Outcome:
     entries = [node.entry for node in cluster.nodes.values()]
-    player = _LoadGenerator(scene, entries, WARM_S + TRIGGER_S + RECOVERY_S)
+    player = _LoadGenerator(scenario, entries, WARM_S + TRIGGER_S + RECOVERY_S)
     attempts: list[float] = []
     limits = httpx.Limits(max_connections=400, max_keepalive_connections=400)
     async with httpx.AsyncClient(trust_env=False, limits=limits) as client:
         surge = (float(WARM_S), float(WARM_S + TRIGGER_S))
         offers = [
             asyncio.create_task(player.offer(client, load, surge))
-            for load in scene.loads
+            for load in scenario.loads
         ]
-        sampling = asyncio.create_task(_sample(client, scene, cluster, attempts))
+        sampling = asyncio.create_task(_sample(client, scenario, cluster, attempts))
         await asyncio.sleep(WARM_S)
-        await _slow(client, scene, cluster, 3.0)
+        await _slow(client, scenario, cluster, 3.0)
         await asyncio.sleep(TRIGGER_S)
-        await _slow(client, scene, cluster, 1.0)
+        await _slow(client, scenario, cluster, 1.0)
         await asyncio.sleep(RECOVERY_S / 2)
-        drained = await _stop_node(scene, cluster, player)
+        drained = await _stop_node(scenario, cluster, player)
         await asyncio.gather(*offers)
         sampling.cancel()
         explained = await _explain(client, cluster, player.refused_decision)
         counts = await _executions(client, cluster)
     return Outcome(
-        scenario=scene,
+        scenario=scenario,
         goodput=player.goodput,
         refused=player.refused,
         sent=player.sent,
@@ -290,17 +290,17 @@
 
 async def _slow(
     client: httpx.AsyncClient,
-    scene: Scenario,
+    scenario: Scenario,
     cluster: processes.Cluster,
     factor: float,
 ) -> None:
-    for node in _nodes_of(cluster, scene.deepest):
+    for node in _nodes_of(cluster, scenario.deepest):
         await client.post(f"{node.backend_url}/control", json={"slow": factor})
 
 
 async def _sample(
     client: httpx.AsyncClient,
-    scene: Scenario,
+    scenario: Scenario,
     cluster: processes.Cluster,
     attempts: list[float],
 ) -> None:
@@ -308,7 +308,7 @@
     before = collections.Counter[str]()
     while True:
         total = collections.Counter[str]()
-        for node in _nodes_of(cluster, scene.deepest):
+        for node in _nodes_of(cluster, scenario.deepest):
             reply = await client.get(f"{node.backend_url}/counts")
             counts = reply.json()
             total["roots"] += counts["roots"]
@@ -321,13 +321,13 @@
 
 
 async def _stop_node(
-    scene: Scenario, cluster: processes.Cluster, player: _LoadGenerator
+    scenario: Scenario, cluster: processes.Cluster, player: _LoadGenerator
 ) -> int:
-    """Stop one node of the first service as planned, under load.
+    """Stop one node of the first service under load.
 
     :return: its exit status: 0 when nothing was cut.
     """
-    node = _nodes_of(cluster, scene.upstreams[0].service)[-1]
+    node = _nodes_of(cluster, scenario.upstreams[0].service)[-1]
     player.entries.remove(node.entry)
     await asyncio.sleep(0.2)
     node.node.send_signal(signal.SIGTERM)
@@ -339,7 +339,7 @@
 async def _explain(
     client: httpx.AsyncClient, cluster: processes.Cluster, decision: str
 ) -> str:
-    """Ask another node than the one that decided why it did."""
+    """Query another node for the explanation of a decision."""
     if not decision:
         return "nothing was refused"
     decider = decision.rpartition(":")[0]
