--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -1,7 +1,7 @@
-"""What control costs a node: processor time, bytes and memory by size.
+"""Cost of the control plane for a node: processor time, bytes and memory by size.
 
-The reducer is fed directly, on a fake clock, with what one node of a network of a
-given size receives; datagrams are encoded and decoded as on the wire.
+The reducer gets the events that one node of a network of a given size receives, on a
+fake clock; datagrams are encoded and decoded as on the wire.
 """
 
 import dataclasses
@@ -38,7 +38,7 @@
 
 @dataclasses.dataclass
 class ControlPlaneCost:
-    """What one node spends at a size.
+    """Cost of the control plane for one node at a size.
 
     :param cpu_share: share of a core.
     :param bytes_per_second: sent; about as much is received.
@@ -73,7 +73,7 @@
 
 
 def node_with_members(count: int) -> states.State:
-    """Return a node that knows so many members, all rumours spent."""
+    """Return a node that knows so many members, without pending updates."""
     started = events.Started(
         now=START,
         seed=1,
@@ -115,7 +115,7 @@
 def control_plane_cost(
     members: int, *, changes_per_day: float, seconds: int = 60
 ) -> ControlPlaneCost:
-    """Measure one node for some seconds of the fake clock.
+    """Measure one node over some seconds of the fake clock.
 
     :param changes_per_day: member updates in the whole network; each replaced
         instance makes about four (leaves, joins, announces, is warm).
@@ -135,7 +135,7 @@
         now += timers.TICK_MS
         batch: list[events.Event] = [events.Tick(now=now)]
         if now >= next_ping:
-            # Every member probes about twice a second; so many reach this node.
+            # Each member probes about twice a second, so this node gets as many probes.
             next_ping = now + 500.0
             news: tuple[messages.Member, ...] = ()
             if chance.random() < min(1.0, news_per_second * 0.5):
@@ -165,7 +165,7 @@
 
 
 def _execute(state: states.State, effect: effects.Effect, now: float) -> int:
-    """Let a sent message be answered; return its bytes."""
+    """Answer a message that was sent and return its bytes."""
     if not isinstance(effect, effects.SendGossip):
         return 0
     size = _round_trip(effect.message, now)
--- a/benchmarks/logging_cost.py
+++ b/benchmarks/logging_cost.py
@@ -1,4 +1,4 @@
-"""What a line of the log costs, and what all that may be written cost a second.
+"""Cost of a log line, and of the most lines per second that may be written.
 
 Run with ``python -m benchmarks.logging_cost``. The lines go to a pipe that nobody reads
 after it is full, so that the price of a stalled reader is in the second figure.
--- a/benchmarks/real_nodes.py
+++ b/benchmarks/real_nodes.py
@@ -1,5 +1,5 @@
-"""A few tens of real nodes: memory, idle processor time, and how fast a change is
-in force everywhere."""
+"""Tens of real nodes: memory, idle processor time, and the time until a change is in
+force everywhere."""
 
 import dataclasses
 import datetime
--- a/benchmarks/variants.py
+++ b/benchmarks/variants.py
@@ -1,7 +1,7 @@
-"""Baselines, and our own mechanisms taken out one at a time.
+"""Baselines, and ablations that disable one mechanism of the product each.
 
-Each variant changes the core's functions inside the process of its run; the
-product has no switches for this.
+Each variant patches the core's functions inside the process of its run; the product has
+no switches for this.
 """
 
 import collections.abc
@@ -47,9 +47,8 @@
 def per_hop_retries() -> None:
     """A plain proxy that retries at every hop, three times each.
 
-    Each try has two thirds of the time left; without such a bound a proxy that lets
-    everything in would see no failure in time to retry it. (With a quarter the third
-    hop had less time than its service takes, and nothing ever completed.)
+    Each attempt gets a share of the remaining time: without such a bound a proxy that
+    admits every call would see no failure in time to retry it.
     """
     _no_admission()
     _random_choice()
@@ -82,7 +81,7 @@
 
 
 def no_levels() -> None:
-    """Without the home node's level riding on answers."""
+    """Without the reported levels of home nodes."""
     _set(level_control, "_raised", lambda backend, overage: ranks.LOWEST)
 
 
@@ -105,7 +104,7 @@
 
 
 def no_common_order() -> None:
-    """Each hop draws an order of its own instead of the root's hash."""
+    """Each hop orders calls by its own hash instead of the root's."""
     original = ranks.rank_of
 
     def drawn(*, importance: int, depth: int, root: int) -> int:
@@ -128,7 +127,7 @@
 
 
 def no_queue() -> None:
-    """Nothing waits: what finds no slot is refused."""
+    """Calls that find no free slot are refused."""
     _set(admission, "queue_bound", lambda state, kind: 0)
 
 
@@ -159,7 +158,7 @@
 
 
 def no_deadline_check() -> None:
-    """Calls that cannot finish in time are begun all the same."""
+    """Calls that cannot finish before their deadline are started."""
     _set(admission, "service_time", lambda state, kind: 0.0)
 
 
@@ -169,62 +168,62 @@
 
 
 def no_cancellation() -> None:
-    """Work goes on after its caller has given up."""
+    """Work continues after its caller has cancelled."""
     _no_cancellation()
 
 
 def no_rationing() -> None:
-    """A short retry budget goes to calls in the order in which they come."""
+    """A scarce retry budget is spent in order of arrival."""
     _set(rationing, "minimum_rank", lambda wants, supply, now: ranks.LOWEST)
 
 
 def no_going_back() -> None:
-    """A call is not sent back to an upstream that turned it away with slots free."""
+    """A call is not sent again to an upstream that refused it with free slots."""
     _set(sending, "MAX_REJECTED_ATTEMPTS", 0)
 
 
 def no_cost_order() -> None:
-    """Inside a priority the order is by hash alone, whatever a kind costs."""
+    """Within a priority calls are ordered by hash alone, without the cost of a kind."""
     _set(slot_costs, "shedding_hash", lambda costs, kind, importance, root: root)
 
 
 def no_come_back_time() -> None:
-    """Refused callers come back after one second, whatever the outlook."""
+    """Refusals have a constant retry delay."""
     _set(retry_delay, "for_call", lambda state, call: retry_delay.DEFAULT_DELAY_MS)
 
 
 def no_slow_penalty() -> None:
-    """Upstreams are chosen whatever time their answers take."""
+    """Upstreams are chosen without regard to their latency."""
     _set(upstream_costs, "SLOWNESS_PENALTY", 0.0)
 
 
 def no_zone_preference() -> None:
-    """Upstreams of other zones are as good as those of the own."""
+    """Upstreams are chosen without regard to their availability zone."""
     _set(upstream_costs, "ZONE_PENALTY", 0.0)
 
 
 def no_error_penalty() -> None:
-    """Upstreams that fail calls are chosen as before."""
+    """Upstreams are chosen without regard to their errors."""
     _set(upstream_costs, "ERROR_PENALTY", 0.0)
 
 
 def no_ejection() -> None:
-    """Upstreams that lost calls are not passed over."""
+    """Upstreams that lost calls are not ejected."""
     _set(upstreams, "eject", lambda state, upstream, duration: None)
 
 
 def no_knee() -> None:
-    """All slots are used, whatever a full backend server takes."""
+    """All slots are used, without regard to saturation."""
     _set(saturation, "usable_slots", lambda state: state.backend.slots)
 
 
 def no_spared_share() -> None:
-    """No part of a kind goes with the first priority."""
+    """No share of a kind is protected."""
     _set(arrivals, "PROTECTED_FROM", 1 << 64)
 
 
 def no_asking() -> None:
-    """Levels that are old are not asked for anew."""
+    """Outdated levels are not requested again."""
     _set(routing, "request_levels", lambda state, service, kind, out: None)
 
 
@@ -296,7 +295,7 @@
 
 
 class _Ignored(effects.Effect, frozen=True):
-    """An effect that nothing carries out."""
+    """An effect that is ignored."""
 
 
 def _ignored(**fields: object) -> _Ignored:
--- a/benchmarks/workspaces.py
+++ b/benchmarks/workspaces.py
@@ -1,7 +1,7 @@
-"""Ways to hold caps over all nodes, and ways to know that keys still hold, compared.
+"""Comparison of methods to enforce caps and to keep evidence about keys verified.
 
-``python -m benchmarks.workspaces [NODES...]`` prints two tables, on the fake clock. The
-kept way of each is the product's; the others are made from it by taking parts out.
+``python -m benchmarks.workspaces [NODES...]`` prints two tables, on the fake clock. One
+method of each is the product's; the others disable parts of it.
 """
 
 import collections.abc
@@ -33,7 +33,7 @@
 
 
 def _nothing(*arguments: object) -> None:
-    """Stand in for a part that is taken out."""
+    """Replace a part that is disabled."""
 
 
 CAP_VARIANTS: dict[str, Patches] = {
@@ -118,7 +118,7 @@
 
 
 def _overloaded(nodes: int) -> tuple[float, float]:
-    """Return the most in a window over the bound, and what was let pass of the cap."""
+    """Return the most requests admitted in a window, over its bound and the cap."""
     made = _deployment(nodes)
     made.load("shop", made.names, rate=4.7 * RATE, duration_ms=1_000.0 * SECONDS)
     made.world.run(1_000.0 * SECONDS)
@@ -129,7 +129,7 @@
 
 def _cost(nodes: int, workspaces: int) -> tuple[float, float, float]:
     """Return microseconds a request at its node, and bytes a second sent for caps by a
-    node and by the keeper."""
+    node and by the cap allocator."""
     names = [f"w{number}" for number in range(workspaces)]
     listed = [routes.workspace(name, [name], rate=RATE, burst=RATE) for name in names]
     made = capped.Deployment(*listed, nodes=nodes)
@@ -168,7 +168,7 @@
 
 
 def compare_caps(sizes: list[int]) -> None:
-    """Print what each way lets pass, by number of nodes."""
+    """Print the share that each method admits, by number of nodes."""
     print("way | nodes | calm | skewed | moving | parted | restarted | most of bound")
     for way, patches in CAP_VARIANTS.items():
         for nodes in sizes:
@@ -218,7 +218,7 @@
 
 
 def compare_keys(sizes: list[int]) -> None:
-    """Print what each way of knowing that keys still hold costs."""
+    """Print the cost of each method to keep evidence about keys verified."""
     print(
         "way | nodes | reads/s | bytes/s a node | oldest ms | heads refused: closed"
         " node-s | silent: all closed after ms | open again after ms"
@@ -258,7 +258,7 @@
 
 
 def freshness_limit() -> float:
-    """Return the oldest evidence by which keys are let in."""
+    """Return the greatest age of the evidence by which keys are accepted."""
     return REVOKE_MS - freshness.MARGIN_MS
 
 
