--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -38,13 +38,13 @@
 docs/design/codecs.md."""
 
 CRASH_BYTES = 244.0
-"""News of the end of a backend server in a membership message; measured with 32
-requests under way."""
+"""Size of the update about a crash in a membership message, with 32 requests under
+way."""
 
 CRASH_SENDS = (
     3 * math.ceil(math.log2(MEMBERS + 2)) // quarantine_table.CRASH_TRANSMISSION_DIVISOR
 )
-"""How often each node passes it on, by ``core.member_table.rumour_count``."""
+"""How often each node gossips a crash, by ``core.member_table.transmission_count``."""
 
 COMPRESSION_MB = peers.MAX_COMPRESSING * COMPRESSED_PAIR_MB
 KEY_WINDOW_S = 900.0
@@ -84,7 +84,7 @@
     joins = 2 * (REPLACED + FAILED) / DAY_S
     publishes = 2 * CHANGES / DAY_S
     appends = joins + publishes + CLAIM_BUDGET
-    keeper_bytes = slopes["caps_keeper_bytes"] / slopes["caps_nodes"] * MEMBERS
+    allocator_bytes = slopes["caps_keeper_bytes"] / slopes["caps_nodes"] * MEMBERS
     lines = [
         "# Capacity at the size of the design",
         "",
@@ -234,17 +234,17 @@
         _row(
             "node with capped workspaces",
             "a bucket for each workspace asked for lately",
-            "2.5 questions/s to the keeper, more where demand begins",
+            "2.5 requests/s to the cap allocator, more where demand begins",
             "21 us a request",
             "small",
-            f"leases and loans; {slopes['caps_node_bytes']:,} B/s sent at"
+            f"leases and delegations; {slopes['caps_node_bytes']:,} B/s sent at"
             f" {slopes['caps_nodes']} nodes and {slopes['caps_workspaces']} workspaces",
         ),
         _row(
-            "keeper of caps",
+            "cap allocator",
             "what was let pass, by workspace and slice of time",
             f"{slopes['caps_keeper_bytes']:,} B/s sent at {slopes['caps_nodes']} nodes,"
-            f" so {keeper_bytes / 1e6:.1f} MB/s at {MEMBERS:,} (extrapolated)",
+            f" so {allocator_bytes / 1e6:.1f} MB/s at {MEMBERS:,} (extrapolated)",
             "not measured",
             "small",
             "one node for all caps: **does not reach to this size**",
@@ -308,15 +308,15 @@
         f"- The same zone starting again within a minute: {525 / 60:.1f} appends/s"
         f" more, {appends + 525 / 60:.1f} in all"
         f" ({_mark(appends + 525 / 60, LOG_APPENDS)}).",
-        f"- Backend servers that end by themselves: news of one with"
+        f"- Backend servers that crash: the update about one with"
         f" {quarantine.REQUESTS_PER_MESSAGE} requests under way takes"
         f" {CRASH_BYTES:.0f} B and"
-        f" is passed on {CRASH_SENDS} times by each node. {FAILED} a day are"
+        f" is gossiped {CRASH_SENDS} times by each node. {FAILED} a day are"
         f" {FAILED * CRASH_BYTES * CRASH_SENDS / DAY_S:.1f} B/s; ten within ten seconds"
         f" {CRASH_BYTES * CRASH_SENDS:,.0f} B/s"
         f" ({_mark(gossip_bytes + CRASH_BYTES * CRASH_SENDS, CONTROL_BYTES)} in those"
-        " seconds). At 194 nodes on the fakes all keep a deadly request out 0.54 s"
-        " after the third end (docs/design/deadly-requests.md). Not run at size.",
+        " seconds). At 194 nodes on the fakes all quarantine a deadly request 0.54 s"
+        " after the third crash (docs/design/deadly-requests.md). Not run at size.",
         "- Regions apart for minutes: each side goes on with what it sees. Members"
         " declared gone are remembered for 5 minutes and come back with a higher"
         " version; the merge is bounded by 5 updates a message. Not run at size.",
--- a/tests/common/known_red.py
+++ b/tests/common/known_red.py
@@ -6,7 +6,7 @@
 
 
 def read(path: pathlib.Path) -> dict[str, str]:
-    """Return the cause and issue of each reasons test.
+    """Return the cause and issue of each listed test.
 
     Each line holds the test, the cause and the issue, separated by `` | ``.
     """
