--- a/tests/cover/test_days_of_our_own.py
+++ b/tests/cover/test_days_of_our_own.py
@@ -1,4 +1,4 @@
-"""The days under ``deploy/days`` can be read and fit any site."""
+"""The days under ``deploy/days`` are valid and independent of the site."""
 
 import pathlib
 import tomllib
@@ -60,8 +60,8 @@
         "hup",
     ]
 )
-PLACES = {"service": "@s", "class": "@c", "zone": "@z"}
-"""A day that names a place of one site would be left out on all others."""
+PLACEHOLDERS = {"service": "@s", "class": "@c", "zone": "@z"}
+"""Prefix of the placeholders by field; a literal name would fit one site only."""
 
 
 def _day(path: pathlib.Path) -> dict[str, typing.Any]:
@@ -69,14 +69,14 @@
     return typing.cast(dict[str, typing.Any], day)
 
 
-def test_there_is_a_day_for_each_pattern() -> None:
+def test_at_least_eight_days_have_distinct_seeds() -> None:
     assert len(FILES) >= 8
     seeds = [_day(path)["seed"] for path in FILES]
     assert len(set(seeds)) == len(seeds)
 
 
 @pytest.mark.parametrize("path", FILES, ids=lambda path: path.stem)
-def test_a_day_has_known_disruptions_at_places_of_any_site(path: pathlib.Path) -> None:
+def test_a_day_has_known_kinds_and_placeholders(path: pathlib.Path) -> None:
     day = _day(path)
     assert day["name"] == path.stem
     assert path.read_text().startswith("# ")
@@ -84,6 +84,6 @@
         assert entry["kind"] in KINDS
         assert 0.0 <= entry["at"] < 30.0
         assert 0.0 < entry.get("share", 1.0) <= 1.0
-        for field, mark in PLACES.items():
-            assert entry.get(field, mark).startswith(mark)
+        for field, prefix in PLACEHOLDERS.items():
+            assert entry.get(field, prefix).startswith(prefix)
     assert {entry["kind"] for entry in day["plan"]} <= PLANNED
--- a/tests/cover/test_regression_runs.py
+++ b/tests/cover/test_regression_runs.py
@@ -1,4 +1,4 @@
-"""What is read off a score of the users' bench, and when a site counts as fallen."""
+"""Parsing of the scores of the users' bench, and detection of regressions."""
 
 import pytest
 
@@ -15,11 +15,11 @@
 """
 
 
-def test_a_score_is_read_with_its_days() -> None:
-    played = regress.parse(SCORED)
-    assert (played.site, played.score, played.gate) == ("mesh-1", 0.729, False)
-    assert played.mean_worth == pytest.approx(0.35)
-    assert played.broken == ("scale-2",)
+def test_a_score_is_parsed_with_its_days() -> None:
+    parsed = regress.parse(SCORED)
+    assert (parsed.site, parsed.score, parsed.gate) == ("mesh-1", 0.729, False)
+    assert parsed.mean_worth == pytest.approx(0.35)
+    assert parsed.broken == ("scale-2",)
 
 
 def test_an_output_without_a_score_is_an_error() -> None:
@@ -27,14 +27,14 @@
         regress.parse("the build failed")
 
 
-@pytest.mark.parametrize(("before", "fell"), [(0.75, False), (0.77, True)])
-def test_a_site_that_fell_is_marked(before: float, fell: bool) -> None:
-    played = regress.parse(SCORED)
+@pytest.mark.parametrize(("before", "regressed"), [(0.75, False), (0.77, True)])
+def test_a_regression_is_marked(before: float, regressed: bool) -> None:
+    parsed = regress.parse(SCORED)
     earlier = regress.SiteScore("mesh-1", before, True, 0.4)
-    assert ("FELL" in regress.line(played, earlier)) is fell
+    assert ("FELL" in regress.line(parsed, earlier)) is regressed
 
 
-def test_the_last_landing_is_kept_by_site() -> None:
-    kept = regress.recorded_scores()
-    assert {"brolga-qld", "coopcarga-ne", "mawid-cairo"} <= set(kept)
-    assert all(0.0 <= played.score <= 1.0 for played in kept.values())
+def test_recorded_scores_are_read_by_site() -> None:
+    recorded = regress.recorded_scores()
+    assert {"brolga-qld", "coopcarga-ne", "mawid-cairo"} <= set(recorded)
+    assert all(0.0 <= site.score <= 1.0 for site in recorded.values())
--- a/tests/cover/test_scenarios.py
+++ b/tests/cover/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Every scenario of the small test language, on the fakes."""
+"""Runs of every scenario on the fakes."""
 
 import pathlib
 
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize("path", FILES, ids=lambda path: path.stem)
-def test_scenario_holds_what_it_expects(path: pathlib.Path) -> None:
+def test_a_scenario_meets_its_expectations(path: pathlib.Path) -> None:
     assert scenario.play(path) == []
 
 
@@ -19,7 +19,7 @@
     assert len(FILES) >= 9
 
 
-def test_an_expectation_that_is_not_met_is_told(tmp_path: pathlib.Path) -> None:
+def test_an_unmet_expectation_is_reported(tmp_path: pathlib.Path) -> None:
     path = tmp_path / "wrong.scenario"
     path.write_text(
         "load plan-status 20/s\nrun 8\nexpect complete plan-status <= 0.5\n"
--- a/tests/cover/test_site_model.py
+++ b/tests/cover/test_site_model.py
@@ -1,4 +1,4 @@
-"""The model of the users' sites: a calm one serves all, and a run repeats."""
+"""The simulated sites serve every request without overload and are deterministic."""
 
 import pytest
 
@@ -10,7 +10,7 @@
     [site for site in deployments.SITES.values() if site.name != "large-400"],
     ids=lambda site: site.name,
 )
-def test_a_calm_site_serves_everybody(site: deployments.Site) -> None:
+def test_a_site_without_overload_serves_every_request(site: deployments.Site) -> None:
     result = sites.Run(site, seed=1, seconds=6.5).play()
     for tally in result.tallies.values():
         assert tally.sent > 0
--- a/tests/nocover/test_failures.py
+++ b/tests/nocover/test_failures.py
@@ -1,4 +1,4 @@
-"""Kills, freezes, outages and planned stops on real processes."""
+"""Kills, process pauses, log outages and planned stops on real processes."""
 
 import asyncio
 import signal
@@ -38,7 +38,7 @@
 async def _load(
     cluster: processes.Cluster, entries: list[str], stop: asyncio.Event
 ) -> list[httpx.Response]:
-    """Send lookups, eight at a time, until told to stop."""
+    """Send lookups from eight concurrent callers until the event is set."""
     replies: list[httpx.Response] = []
 
     async def caller(number: int, client: httpx.AsyncClient) -> None:
@@ -75,8 +75,7 @@
 def test_a_second_planned_stop_does_not_end_the_first(
     fresh: processes.Cluster,
 ) -> None:
-    # Seed 2140459980 of the soak: two stops of one machine overlapped, and the second
-    # signal ended the process at once.
+    # Guards against a second SIGTERM that ends a process without a drain.
     node = fresh.nodes["plans-1"].node
     for _ in range(3):
         node.send_signal(signal.SIGTERM)
@@ -105,7 +104,7 @@
             assert reply.status_code == 200
 
 
-def test_a_killed_node_is_passed_over(fresh: processes.Cluster) -> None:
+def test_a_killed_node_is_avoided(fresh: processes.Cluster) -> None:
     fresh.nodes["plans-2"].node.kill()
     entry = fresh.nodes["porting-1"]
     replies = [
@@ -115,18 +114,18 @@
     assert {reply.status_code for reply in replies} == {200}
 
 
-def test_a_frozen_node_costs_its_own_calls_only(fresh: processes.Cluster) -> None:
-    frozen = fresh.nodes["plans-2"]
-    frozen.node.send_signal(signal.SIGSTOP)
+def test_a_paused_node_fails_no_calls_of_others(fresh: processes.Cluster) -> None:
+    paused = fresh.nodes["plans-2"]
+    paused.node.send_signal(signal.SIGSTOP)
     entry = fresh.nodes["porting-1"]
     _wait_not_alive(entry, "plans-2")
     replies = [
         httpx.get(entry.entry + "/status", headers=LOOKUP, trust_env=False, timeout=20)
         for _ in range(40)
     ]
-    # Suspected by now; a call that went there would end with 504 at its deadline.
+    # The node is suspected; a call sent to it would fail with 504 at its deadline.
     assert {reply.status_code for reply in replies} == {200}
-    frozen.node.send_signal(signal.SIGCONT)
+    paused.node.send_signal(signal.SIGCONT)
 
 
 def _wait_not_alive(node: processes.NodeProcess, name: str) -> None:
@@ -226,7 +225,7 @@
     return int(counts["executions"].get(key, 0))
 
 
-def test_a_node_started_while_the_log_is_down_gets_all_from_its_peers(
+def test_a_node_started_while_the_log_is_down_gets_its_state_from_peers(
     fresh: processes.Cluster,
 ) -> None:
     peers = [
--- a/tests/nocover/test_soak.py
+++ b/tests/nocover/test_soak.py
@@ -1,7 +1,6 @@
-"""Seeded runs of the soak on real processes: what must hold on any machine.
+"""Seeded runs of the soak on real processes.
 
-The bounds on time are for runs by hand (``make soak``): a machine that is busy with
-something else would break them here.
+Time bounds are checked by ``make soak`` only, since a busy machine exceeds them.
 """
 
 import pathlib
@@ -11,32 +10,23 @@
 from gingerturn_soak import run, schedule
 
 SEEDS = {
-    # The first that was played.
     1: (3, 5.0),
-    # Two planned stops of one machine overlapped, and the second one ended the first
-    # at once. What CI can hold of it on any machine; the rest is
-    # test_a_second_planned_stop_does_not_end_the_first.
+    # Overlapping planned stops of one machine.
     2140459980: (4, 12.0),
-    # SIGHUP ended a node that was starting anew, so a quarter of the requests found
-    # none; test_sighup_does_not_end_a_node_that_is_starting.
+    # SIGHUP to a node that is starting.
     835031927: (4, 12.0),
 }
-"""Seeds that CI plays, with machines and seconds: one for a start, and each that ever
-broke a promise, with a line on the cause."""
+"""Number of machines and length in seconds of each seed that CI runs."""
 
-DEADLY_SEED = 3
-"""The first whose schedule has a request that ends backend servers. Three of its ends
-were told without it: calls that broke while the backend server was down took its place;
-test_calls_that_break_after_a_crash_do_not_hide_its_cause."""
+CRASH_SEED = 3
+"""Seed whose schedule has a request that crashes backend servers."""
 
 RESTORED_SEED = 1
-"""The first whose schedule lets the log be restored more than once."""
+"""Seed whose schedule restores the log more than once."""
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_the_promises_hold_under_a_seeded_schedule(
-    seed: int, tmp_path: pathlib.Path
-) -> None:
+def test_a_seeded_schedule_has_no_violations(seed: int, tmp_path: pathlib.Path) -> None:
     machines, length_s = SEEDS[seed]
     verdict = run.play(
         seed, tmp_path, machines=machines, length_s=length_s, timing=False
@@ -45,18 +35,18 @@
     assert verdict.served > 0
 
 
-def test_a_deadly_request_of_a_seeded_schedule_breaks_no_promise(
+def test_a_request_that_crashes_backend_servers_causes_no_violations(
     tmp_path: pathlib.Path,
 ) -> None:
     verdict = run.play(
-        DEADLY_SEED, tmp_path, machines=4, length_s=5.0, timing=False, deadly=True
+        CRASH_SEED, tmp_path, machines=4, length_s=5.0, timing=False, deadly=True
     )
     assert any(schedule.Kind.DEADLY.value in step for step in verdict.steps)
     assert verdict.violations == []
     assert verdict.served > 0
 
 
-def test_a_log_that_is_restored_breaks_no_promise(
+def test_a_restored_log_causes_no_violations(
     tmp_path: pathlib.Path,
 ) -> None:
     verdict = run.play(
--- a/tests/quality/test_known_red.py
+++ b/tests/quality/test_known_red.py
@@ -1,4 +1,4 @@
-"""Tests of the list of known failures and its strictness."""
+"""Parsing of the list of known failures and its effect on test outcomes."""
 
 import pathlib
 
@@ -9,18 +9,18 @@
 LINE = "tests/x.py::test_y | the cause | issue 4\n"
 
 
-def test_no_file_lists_nothing(tmp_path: pathlib.Path) -> None:
+def test_a_missing_file_is_an_empty_list(tmp_path: pathlib.Path) -> None:
     assert known_red.read(tmp_path / "none") == {}
 
 
-def test_a_line_names_test_cause_and_issue(tmp_path: pathlib.Path) -> None:
+def test_a_line_has_test_cause_and_issue(tmp_path: pathlib.Path) -> None:
     path = tmp_path / "KNOWN-RED.txt"
     path.write_text(LINE)
     assert known_red.read(path) == {"tests/x.py::test_y": "the cause (issue 4)"}
 
 
 @pytest.mark.parametrize("text", [LINE * 4, "tests/x.py::test_y\n", "a | b\n"])
-def test_a_fourth_line_or_a_bad_one_is_refused(
+def test_a_fourth_or_malformed_line_is_an_error(
     tmp_path: pathlib.Path, text: str
 ) -> None:
     path = tmp_path / "KNOWN-RED.txt"
--- a/tests/quality/test_variants_can_be_taken_out.py
+++ b/tests/quality/test_variants_can_be_taken_out.py
@@ -1,7 +1,6 @@
-"""The bench takes mechanisms out by name; each name must still be there.
+"""The variants of the benchmark replace functions that exist.
 
-After `routing._occupancy` had become `_cost`, `make bench` ended with a traceback: its
-baselines replace functions by name, and nothing in CI did so.
+Variants replace functions by name, so a rename breaks them unseen by type checks.
 """
 
 import subprocess
@@ -14,8 +13,8 @@
 
 
 @pytest.mark.parametrize("name", list(variants.VARIANTS))
-def test_a_variant_replaces_what_is_there(name: str) -> None:
-    # In a process of its own: it changes the modules for good.
+def test_a_variant_replaces_existing_names(name: str) -> None:
+    # A variant changes modules permanently, so it runs in a separate process.
     code = f"from benchmarks import variants; variants.VARIANTS[{name!r}]()"
     paths = [str(processes.ROOT / part) for part in ("src", "tooling", ".")]
     done = subprocess.run(
@@ -29,15 +28,14 @@
 
 
 @pytest.mark.parametrize("name", list(variants.VARIANTS))
-def test_a_variant_plays_through_an_overload(
+def test_a_variant_runs_through_an_overload(
     name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # One replacement had kept an old parameter list and ended each run that reached it.
+    # Guards against replacements whose parameters differ from the original function.
     monkeypatch.setattr(variants, "_set", monkeypatch.setattr)
     variants.VARIANTS[name]()
     run = sites.overloaded(seconds=1.5)
-    # Calls that are turned away with room are sent again; a replacement that nothing
-    # called in a plain overload had kept an old parameter list, too.
+    # Refused calls are retried; overload alone does not call every replacement.
     run.refuse_calls(run.site.bottleneck, 0.5)
     run.play()
     arrived = sum(node.backend.executed for node in run.world.nodes.values())
