--- a/benchmarks/added_time.py
+++ b/benchmarks/added_time.py
@@ -1,7 +1,7 @@
-"""The time that two nodes add to a call, and calls a second for a core.
+"""Latency that two nodes add to a call, and calls a second of a core.
 
-Direct calls and calls through two nodes are made side by side in one run, so that
-the machine's noise is in both.
+Direct calls and calls through two nodes run concurrently, so that noise of the
+machine affects both.
 """
 
 import asyncio
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass
 class Added:
-    """Percentiles in microseconds, direct and through two nodes.
+    """Latency percentiles in microseconds, direct and through two nodes.
 
     :param calls: calls through the nodes.
     """
@@ -33,7 +33,7 @@
     calls: int
 
     def added(self, name: str) -> float:
-        """Return what the nodes add at a percentile, in milliseconds."""
+        """Return the latency that the nodes add at a percentile, in milliseconds."""
         return (self.through[name] - self.direct[name]) / 1000.0
 
 
@@ -48,7 +48,7 @@
 
 
 def start(folder: pathlib.Path) -> processes.Cluster:
-    """Start an entry node, a home node and the backend server's stand-in."""
+    """Start an entry node, a home node and a fake backend server."""
     cluster = processes.Cluster(folder)
     cluster.add("entry-1", service="entry", zone="a", slots=1000, wait=True)
     cluster.add("echo-1", service="echo", zone="a", slots=1000, wait=True)
@@ -57,7 +57,7 @@
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the processor time of a process so far."""
+    """Return the processor time that a process has used, in seconds."""
     with open(f"/proc/{pid}/stat") as stat:
         fields = stat.read().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / _TICKS
@@ -72,7 +72,7 @@
     through = loadgen.Load(entry.calls_port, request, connections=in_flight)
     await direct.open()
     await through.open()
-    # Both warm up, then both are measured in the same seconds.
+    # Warm up both, then measure both over the same interval.
     await asyncio.gather(direct.run(0.5, rate=rate), through.run(0.5, rate=rate))
     direct.times.reset()
     through.times.reset()
@@ -115,7 +115,7 @@
 
 
 def measure(seconds: float = 6.0) -> tuple[list[Added], Throughput]:
-    """Measure everything, with fresh processes."""
+    """Run all measurements with new processes."""
     with (
         tempfile.TemporaryDirectory() as folder,
         start(pathlib.Path(folder)) as cluster,
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,4 +1,4 @@
-"""Works out docs/CAPACITY.md from the recorded slopes, so that they cannot drift.
+"""Generates docs/CAPACITY.md from the recorded slopes.
 
 ``python -m benchmarks.capacity`` writes the page; a test checks that page and
 script agree.
@@ -34,7 +34,7 @@
 CLAIM_BUDGET = 200.0
 CLAIM_RECORD_BYTES = 130.0
 COMPRESSED_PAIR_MB = 0.0246
-"""Both streams of a connection to another zone; measured over 2,000 pairs, see
+"""Memory of both compression streams of a connection to another zone, see
 docs/design/codecs.md."""
 
 CRASH_BYTES = 244.0
@@ -44,7 +44,7 @@
 CRASH_SENDS = (
     3 * math.ceil(math.log2(MEMBERS + 2)) // quarantine_table.CRASH_TRANSMISSION_DIVISOR
 )
-"""How often each node gossips a crash, by ``core.member_table.transmission_count``."""
+"""Times each node gossips a crash, see ``core.member_table.transmission_count``."""
 
 COMPRESSION_MB = peers.MAX_COMPRESSING * COMPRESSED_PAIR_MB
 KEY_WINDOW_S = 900.0
@@ -59,7 +59,7 @@
 
 
 def page(slopes: dict[str, typing.Any]) -> str:
-    """Return the page."""
+    """Return the text of the page."""
     calls_per_node = CALLS / MEMBERS
     call_cpu = calls_per_node * (slopes["entry_us"] + slopes["home_us"]) / 1e6
     gossip_cpu = (
@@ -67,12 +67,12 @@
     )
     change_cpu = CHANGES * slopes["config_change_ms"] / 1000 / DAY_S
     idle = slopes["idle_cpu"]
-    # The idle figure of real nodes holds the ticks and the log's polls, and gossip
-    # among 40; what grows with the members is added to it.
+    # The idle figure of real nodes includes ticks, polls of the log and gossip among
+    # 40 members; add the cost that grows with the number of members.
     control_cpu = idle + slopes["control_cpu_per_member"] * MEMBERS + change_cpu
     member_mb = slopes["member_kb"] * MEMBERS / 1000
     config_mb = 1.0
-    # The idle real node against the same states built up in one process.
+    # Memory of an idle real node plus the growth measured in a single process.
     states = slopes["memory_states_mb"]
     rss = slopes["rss_mb"] + slopes["memory_full_mb"] - states["idle"]
     config_bytes = CHANGES * slopes["config_change_bytes"] / DAY_S
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -1,6 +1,6 @@
 """Cost of the control plane for a node: processor time, bytes and memory by size.
 
-The reducer gets the events that one node of a network of a given size receives, on a
+Feeds the reducer the events that one node of a network of a given size receives, on a
 fake clock; datagrams are encoded and decoded as on the wire.
 """
 
@@ -30,7 +30,7 @@
 START = 1_800_000_000_000.0
 SECRET = b"a secret of the benchmarks"
 UDP_HEADERS = 28
-"""IPv4 and UDP headers of each datagram."""
+"""Bytes of the IPv4 and UDP headers of each datagram."""
 
 SERVICES = 110
 ZONES = 8
@@ -57,7 +57,7 @@
 
 
 def member(index: int, *, version: int = 1) -> messages.Member:
-    """Return a member of the design's network."""
+    """Return a member of the network at the design size."""
     return messages.Member(
         node=ids.NodeId(f"service-{index % SERVICES}-node-{index}"),
         incarnation=ids.Incarnation(1_800_000_000_000 + index),
@@ -73,7 +73,7 @@
 
 
 def node_with_members(count: int) -> states.State:
-    """Return a node that knows so many members, without pending updates."""
+    """Return a node with so many members in its table and no pending updates."""
     started = events.Started(
         now=START,
         seed=1,
@@ -118,14 +118,14 @@
     """Measure one node over some seconds of the fake clock.
 
     :param changes_per_day: member updates in the whole network; each replaced
-        instance makes about four (leaves, joins, announces, is warm).
+        instance causes about four (departure, join, announcement, warm).
     """
     gc.collect()
     before = rss_mb()
     state = node_with_members(members)
     memory = rss_mb() - before
-    chance = random.Random(1)
-    news_per_second = changes_per_day / 86_400.0
+    rng = random.Random(1)
+    updates_per_second = changes_per_day / 86_400.0
     sent = 0
     spent = 0.0
     now = START
@@ -137,11 +137,11 @@
         if now >= next_ping:
             # Each member probes about twice a second, so this node gets as many probes.
             next_ping = now + 500.0
-            news: tuple[messages.Member, ...] = ()
-            if chance.random() < min(1.0, news_per_second * 0.5):
+            updates: tuple[messages.Member, ...] = ()
+            if rng.random() < min(1.0, updates_per_second * 0.5):
                 versions += 1
-                news = (member(chance.randrange(max(1, members)), version=versions),)
-            batch.append(_gossip(now, news, messages.GossipKind.PING))
+                updates = (member(rng.randrange(max(1, members)), version=versions),)
+            batch.append(_gossip(now, updates, messages.GossipKind.PING))
         begun = time.thread_time()
         for event in batch:
             if isinstance(event, events.DatagramReceived):
@@ -158,14 +158,14 @@
 
 
 def _round_trip(message: messages.Gossip, now: float) -> int:
-    """Encode and decode a message as its two ends do."""
+    """Encode and decode a message, and return its bytes on the wire."""
     datagram = datagrams.encode(SECRET, ids.NodeId("me"), now, message)
     datagrams.decode([SECRET], datagram)
     return len(datagram) + UDP_HEADERS
 
 
 def _execute(state: states.State, effect: effects.Effect, now: float) -> int:
-    """Answer a message that was sent and return its bytes."""
+    """Acknowledge a sent message and return its bytes on the wire."""
     if not isinstance(effect, effects.SendGossip):
         return 0
     size = _round_trip(effect.message, now)
@@ -196,10 +196,10 @@
 
 @dataclasses.dataclass
 class ConfigurationCost:
-    """What the configuration costs a node.
+    """Cost of the configuration for a node.
 
-    :param change_ms: processor time to put one changed document in force.
-    :param change_bytes: what travels for it.
+    :param change_ms: processor time to apply one changed document.
+    :param change_bytes: bytes sent for one changed document.
     """
 
     load_ms: float
@@ -209,7 +209,7 @@
 
 
 def configuration_cost() -> ConfigurationCost:
-    """Measure the design's configuration."""
+    """Measure the configuration at the design size."""
     texts = documents()
     gc.collect()
     before = rss_mb()
@@ -261,7 +261,7 @@
 
 
 def key_cost(count: int = 20_000) -> float:
-    """Return the bytes that one remembered key takes."""
+    """Return the bytes of state kept for one idempotency key."""
     gc.collect()
     before = rss_mb()
     table = {
@@ -280,28 +280,32 @@
 def claim_appends(rate: float, *, seconds: int = 20) -> float:
     """Return the appends a second for keyed port requests at a rate, on the fakes.
 
-    Four nodes of Porting claim; each may append once in a fiftieth of a second.
+    Four nodes of Porting claim; each may append 50 times a second.
     """
     graph = graphs.brolga()
-    made = world.World(
+    fake_world = world.World(
         seed=1,
         services=graph.services,
         documents={"shop": graphs.BROLGA_DOCUMENT.replace('key = "generated"\n', "")},
         zones=graph.zones,
     )
-    made.run(2_000)
-    before = made.log.appends
+    fake_world.run(2_000)
+    before = fake_world.log.appends
     total = int(rate * seconds)
     for number in range(total):
-        made.at(number * 1_000.0 / rate, lambda n=number: _send_keyed(made, graph, n))
-    made.run(seconds * 1_000.0)
-    return (made.log.appends - before) / seconds
+        fake_world.at(
+            number * 1_000.0 / rate, lambda n=number: _send_keyed(fake_world, graph, n)
+        )
+    fake_world.run(seconds * 1_000.0)
+    return (fake_world.log.appends - before) / seconds
 
 
-def _send_keyed(made: world.World, graph: graphs.Graph, number: int) -> None:
-    key = uuid.UUID(int=(int(made.now) << 80) | (7 << 76) | (2 << 62) | number)
+def _send_keyed(fake_world: world.World, graph: graphs.Graph, number: int) -> None:
+    key = uuid.UUID(int=(int(fake_world.now) << 80) | (7 << 76) | (2 << 62) | number)
     kind = graph.kinds["port-request"]
-    made.send(parts.Root(id=number + 1, kind=kind, sent=made.now, key=str(key)))
+    fake_world.send(
+        parts.Root(id=number + 1, kind=kind, sent=fake_world.now, key=str(key))
+    )
 
 
 def main() -> None:
--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -1,7 +1,7 @@
-"""What a node costs: each figure with its bound, and the slopes for CAPACITY.md.
+"""Cost of a node: each figure with its bound, and the slopes for CAPACITY.md.
 
 ``python -m benchmarks.cost`` prints; ``--record`` also writes ``slopes.json``, from
-which ``python -m benchmarks.capacity`` works out the page.
+which ``python -m benchmarks.capacity`` generates the page.
 """
 
 import datetime
@@ -18,7 +18,7 @@
 SLOPES = pathlib.Path(__file__).with_name("slopes.json")
 MEMBERS = (10, 100, 1_000, 4_200, 5_000)
 CHANGES_PER_DAY = 4_032
-"""18 failures and 990 replacements a day, each about four member updates."""
+"""Member updates a day: 18 failures and 990 replacements, about four updates each."""
 
 
 def _slope(points: list[tuple[float, float]]) -> tuple[float, float]:
@@ -30,7 +30,7 @@
 
 
 def added_figures() -> dict[str, object]:
-    """Measure what two nodes add to a call; wants an otherwise quiet machine."""
+    """Measure the latency that two nodes add; requires an otherwise idle machine."""
     added, throughput = added_time.measure()
     reference = next(a for a in added if a.rate == 126 and a.in_flight == 16)
     busy = next(a for a in added if a.rate == 1_260 and a.in_flight == 16)
@@ -57,7 +57,7 @@
 
 
 def measure() -> dict[str, object]:
-    """Measure everything, one thing after another."""
+    """Run all measurements sequentially."""
     added = added_figures()
     controls = [
         control.control_plane_cost(size, changes_per_day=CHANGES_PER_DAY)
@@ -117,7 +117,7 @@
 
 
 def _memory_states() -> dict[str, float]:
-    """Return a node's memory by state, measured in a process of its own."""
+    """Return the memory of a node by state, measured in a separate process."""
     run = subprocess.run(
         [sys.executable, "-m", "benchmarks.node_memory"],
         capture_output=True,
@@ -134,7 +134,7 @@
 
 
 def report(found: dict[str, object]) -> list[str]:
-    """Return the figures with their bounds."""
+    """Return the lines of the figures with their bounds."""
 
     def line(name: str, key: str, bound: float | None, unit: str) -> str:
         value = float(found[key])  # type: ignore[arg-type]
--- a/benchmarks/frame_sizes.py
+++ b/benchmarks/frame_sizes.py
@@ -14,26 +14,26 @@
 
 
 def requests(count: int) -> list[frames.Frame]:
-    """Return frames as an entry node sends them: what differs is drawn at random."""
-    chance = random.Random(1)
-    return [_request(number, chance) for number in range(count)]
+    """Return frames as an entry node sends them, with random variable fields."""
+    rng = random.Random(1)
+    return [_request(number, rng) for number in range(count)]
 
 
 def answers(count: int) -> list[frames.Frame]:
     """Return frames as a home node sends them, with short random bodies."""
-    chance = random.Random(2)
-    return [_answer(number, chance) for number in range(count)]
+    rng = random.Random(2)
+    return [_answer(number, rng) for number in range(count)]
 
 
-def _request_id(chance: random.Random) -> str:
-    return f"{chance.getrandbits(64):016x}.{chance.getrandbits(32):08x}"
+def _request_id(rng: random.Random) -> str:
+    return f"{rng.getrandbits(64):016x}.{rng.getrandbits(32):08x}"
 
 
-def _request(number: int, chance: random.Random) -> frames.Frame:
-    name = _request_id(chance)
+def _request(number: int, rng: random.Random) -> frames.Frame:
+    name = _request_id(rng)
     head = (
-        f"GET /{chance.choice(_PATHS)}/{chance.getrandbits(16):x} HTTP/1.1\r\n"
-        f"host: {chance.choice(_HOSTS)}\r\nrequest-id: {name}\r\naccept: */*\r\n"
+        f"GET /{rng.choice(_PATHS)}/{rng.getrandbits(16):x} HTTP/1.1\r\n"
+        f"host: {rng.choice(_HOSTS)}\r\nrequest-id: {name}\r\naccept: */*\r\n"
         "user-agent: shop/1\r\naccept-encoding: identity\r\ncaller-service: plans\r\n"
     )
     terms = messages.CallMetadata(
@@ -41,9 +41,9 @@
         kind=ids.KindName("stock"),
         importance=3,
         depth=2,
-        root=ids.RootHash(chance.getrandbits(64)),
+        root=ids.RootHash(rng.getrandbits(64)),
         trace=name,
-        deadline_ms=chance.random() * 700.0,
+        deadline_ms=rng.random() * 700.0,
         tokens=1,
         repeatable=True,
     )
@@ -52,10 +52,10 @@
     )
 
 
-def _answer(number: int, chance: random.Random) -> frames.Frame:
+def _answer(number: int, rng: random.Random) -> frames.Frame:
     head = (
-        f"HTTP/1.1 200 OK\r\nrequest-id: {_request_id(chance)}\r\n"
-        f"response-signature: {chance.getrandbits(48):x}\r\n"
+        f"HTTP/1.1 200 OK\r\nrequest-id: {_request_id(rng)}\r\n"
+        f"response-signature: {rng.getrandbits(48):x}\r\n"
         "content-type: application/octet-stream\r\n"
     )
     return frames.Answer(
@@ -63,14 +63,14 @@
         status=200,
         tokens=0,
         report=messages.LoadReport(
-            level=ids.Rank(chance.getrandbits(20)),
+            level=ids.Rank(rng.getrandbits(20)),
             tree_level=ids.Rank(0),
-            load=chance.randrange(30),
+            load=rng.randrange(30),
             limit=20,
         ),
         decision=f"provisioning-2:{number * 17:x}",
         head=head.encode(),
-        body=chance.randbytes(100),
+        body=rng.randbytes(100),
         whole=True,
     )
 
--- a/benchmarks/graphs.py
+++ b/benchmarks/graphs.py
@@ -1,8 +1,8 @@
-"""The two users' graphs at the sizes of the brief, for the fake world.
+"""Service graphs of two users at their specified sizes, for the fake world.
 
-The brief gives upstreams, slots and latencies. Service times and the calls between
-services are ours: long enough that a run on one machine is quick, with lookups and
-unrepeatable requests meeting at the deepest service.
+Upstreams, slots and latencies are specified. Service times and the calls between
+services are assumptions: service times are long enough to keep runs short, and lookups
+and unrepeatable requests share the deepest service.
 """
 
 import dataclasses
@@ -147,11 +147,11 @@
 
 @dataclasses.dataclass
 class Graph:
-    """A user's graph and its demand.
+    """Service graph of a user and its demand.
 
     :param mix: share of each kind of root in the demand.
-    :param patience_ms: time after which a caller goes away, by kind; shorter than
-        the deadlines, as callers are.
+    :param abandon_after_ms: time after which a caller abandons a call, by kind;
+        shorter than the deadlines.
     :param deepest: the service that is slowed in the storm.
     """
 
@@ -170,15 +170,15 @@
         """Return the slot time in ms that one root of a kind takes at each service.
 
         A slot is held while the calls below it are under way, so the time at a
-        service includes that of the services below, and the ways to them.
+        service includes that of the services below and the network latency to them.
         """
         return {name: self._slot_ms(name) for name in self.kinds}
 
     def capacity(self, mix: dict[str, float] | None = None) -> float:
         """Return the roots a second that the slots allow for a mix.
 
-        The bound of the scarcest service: its slots over the slot time that an
-        average root takes there.
+        The bound of the bottleneck service: its slots divided by the slot time that
+        an average root takes there.
         """
         mix = mix or self.mix
         total = sum(mix.values())
--- a/benchmarks/loadgen.py
+++ b/benchmarks/loadgen.py
@@ -1,7 +1,7 @@
-"""A lean HTTP load generator: paced calls over persistent connections.
+"""Minimal HTTP load generator: paced calls over persistent connections.
 
-It is written on the parser's library directly, since a full client library would
-take more time for a call than what is to be measured.
+Uses the HTTP parser directly, since the overhead of a full client library would
+exceed the latency to be measured.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 
 
 class _Caller(asyncio.Protocol):
-    """One connection, one call at a time."""
+    """Client connection with one call in flight at a time."""
 
     def __init__(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
@@ -23,25 +23,25 @@
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the connection."""
+        """Store the transport."""
         self._transport = transport  # type: ignore[assignment]
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Fail the call under way."""
+        """Fail the call in flight."""
         if self._future is not None and not self._future.done():
             self._future.set_exception(ConnectionError("connection lost"))
 
     def data_received(self, data: bytes) -> None:
-        """Feed the parser."""
+        """Pass received data to the parser."""
         self._parser.feed_data(data)
 
     def on_message_complete(self) -> None:
-        """End the call."""
+        """Complete the call with its status."""
         if self._future is not None and not self._future.done():
             self._future.set_result(self._parser.get_status_code())
 
     def call(self, request: bytes) -> "asyncio.Future[int]":
-        """Send a call and return its status to come."""
+        """Send a call and return a future of its status."""
         self._parser = httptools.HttpResponseParser(self)
         self._future = asyncio.get_running_loop().create_future()
         assert self._transport is not None
@@ -50,7 +50,7 @@
 
 
 def request_bytes(service: str, path: str, body: bytes = b"") -> bytes:
-    """Return a request as it goes over the wire, with a trace as callers send it."""
+    """Return the bytes of a request as a caller sends it."""
     method = b"PUT" if body else b"GET"
     head = b"%b %b HTTP/1.1\r\nhost: %b\r\nuser-agent: bench\r\naccept: */*\r\n" % (
         method,
@@ -63,10 +63,10 @@
 
 
 class Load:
-    """Calls to one address, and the time that each took.
+    """Load on one local port, with a histogram of latencies.
 
-    :param port: where to call.
-    :param connections: calls in flight at most.
+    :param port: local port to call.
+    :param connections: number of connections, and so the maximum calls in flight.
     """
 
     def __init__(self, port: int, request: bytes, *, connections: int) -> None:
@@ -85,7 +85,7 @@
             self._callers.append(caller)
 
     async def run(self, seconds: float, *, rate: float = 0.0) -> None:
-        """Send calls for some seconds.
+        """Send calls for a number of seconds.
 
         :param rate: calls a second of all connections; 0 for as many as possible.
         """
--- a/benchmarks/node_memory.py
+++ b/benchmarks/node_memory.py
@@ -1,7 +1,7 @@
-"""Memory of a node's process in the states that the bound is asked for.
+"""Memory of a node's process in the states that the memory bound covers.
 
-Run as a process of its own, since memory once taken is not given back: it builds a
-real node with its administration API and fills it step by step.
+Runs as a separate process, since the allocator does not return freed memory to the
+system: it builds a real node with its administration API and fills it step by step.
 """
 
 import asyncio
@@ -87,7 +87,7 @@
 
 def main() -> None:
     """Print the figures as JSON."""
-    # The daemon's module holds everything that a real node loads.
+    # Importing the daemon module loads every module of a real node.
     assert daemon.EXIT_CLEAN == 0
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         print(json.dumps(runner.run(measure())))
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -26,14 +26,14 @@
 SLOWDOWN = 3.0
 RETRIES = 10
 SEEDS = (1, 2, 3)
-"""Our own figures are medians of three seeds; baselines are run on the first."""
+"""Figures of gingerturn are medians of three seeds; baselines use the first seed."""
 
 SETTLE_S = 10
-"""Roots sent in the last seconds may still be under way at the end of a run."""
+"""Roots sent this late in a run are excluded, since they may not have ended."""
 
 STORM_DEMAND = 0.9
-"""At 1x chance alone overloads the scarcest service; at 0.9x the graph is well
-before and can be after."""
+"""At 1x, random arrivals alone overload the bottleneck service; at 0.9x the graph is
+stable without the trigger."""
 
 OURS = "gingerturn"
 MISSED = "FALLS SHORT"
@@ -43,7 +43,7 @@
 
 @dataclasses.dataclass
 class Sending:
-    """One sending of a root: the slot time spent for it and whether it completed."""
+    """One attempt of a caller at a root: slot time spent and whether it completed."""
 
     kind: str
     sent: float
@@ -54,7 +54,7 @@
 
 @dataclasses.dataclass
 class Result:
-    """What one run measured.
+    """Measurements of one run.
 
     :param per_second: completed roots in each second, by kind.
     """
@@ -85,7 +85,7 @@
 class Run:
     """One run of a graph under a demand.
 
-    :param storm: slow the deepest service and let callers retry hard.
+    :param storm: slow the deepest service and let callers retry immediately.
     """
 
     def __init__(
@@ -126,7 +126,7 @@
         self.failed = dict.fromkeys(graph.kinds, 0)
         self.latency = histogram.HdrHistogram(1, 600_000, 3)
         self._numbers = 0
-        # Arrivals have generators of their own, so that every variant is offered
+        # Arrivals use separate random generators, so that every variant is offered
         # the same roots at the same times.
         self._arrivals = {kind: random.Random(f"{seed} {kind}") for kind in graph.kinds}
         self.sent_per_second = [0] * (seconds + 1)
@@ -140,7 +140,7 @@
         self.world.on_arrival = self._on_arrival
 
     def play(self) -> None:
-        """Run it."""
+        """Run the scenario to its end."""
         for kind, rate in self.rates.items():
             self._schedule(kind, rate)
         if not self.storm:
@@ -190,7 +190,7 @@
         if node.backend.spec.name == self.graph.deepest:
             self.deep_runs[self._second()] += 1
             self.deep_total += 1
-            # A tree may call the deepest service for two kinds; each counts.
+            # A call tree may reach the deepest service with two kinds; count each.
             self.deep_roots.add((work.root, work.kind))
 
     def _on_work_end(
@@ -220,16 +220,16 @@
         self.shed[self._second()] += 1
         self.failed[kind] += 1
         if self.storm and root.tries < RETRIES:
-            # Hard retrying: at once, whatever Retry-After says.
+            # Retry immediately, ignoring Retry-After.
             self._send(root)
             return
         self.given_up[kind] += 1
 
     def result(self, variant: str, scenario: str, demand: float) -> Result:
-        """Return what was measured."""
+        """Return the measurements of the run."""
         total = [sum(column) for column in zip(*self.per_second.values(), strict=True)]
         late = world.START + WARM_S / 2 * 1000.0
-        # What is still under way when the run ends is neither complete nor wasted.
+        # Attempts in flight at the end of the run are neither complete nor wasted.
         warm = [s for s in self.sendings.values() if s.sent >= late and s.ended]
         spent = sum(s.slot_ms for s in warm)
         wasted = sum(s.slot_ms for s in warm if not s.complete)
@@ -265,8 +265,8 @@
     def _recovery(self) -> float:
         """Return the seconds from the trigger's end until goodput stays normal.
 
-        Of the roots sent in each second the share that completes is compared, since
-        counts of completions scatter by more than the 5 % that is asked about.
+        Compares the share of the roots sent in each second that completes, since
+        completion counts vary by more than the 5 % threshold.
         """
         normal = _share(self.completed_by_send_second, self.sent_per_second, 4, WARM_S)
         ended = WARM_S + TRIGGER_S
@@ -281,10 +281,10 @@
         return float("inf")
 
     def _best_rate(self) -> float:
-        """Return the most roots a second that the slots allow for what is offered.
+        """Return the maximum roots a second that the slots allow for the offered load.
 
         A linear bound: each root takes its slot time at each service, no service
-        gives more than its slots, and no kind completes more than is offered.
+        exceeds its slots, and no kind completes more roots than are offered.
         """
         uses = self.graph.slot_ms()
         slots = {s.name: s.slots * s.upstreams for s in self.graph.services}
@@ -301,11 +301,11 @@
     slots: dict[str, int],
     protected: str,
 ) -> float:
-    """Return the greatest total rate with the protected kind served first.
+    """Return the maximum total rate with the protected kind served first.
 
-    Protected roots take their slots first, as the brief demands; the rest is
-    filled greedily by the kinds that take the least of the scarcest service,
-    which is exact where, as here, each further kind meets one scarce service.
+    Protected roots are allocated first. The remaining slots are allocated greedily
+    to the kinds that use the least of their bottleneck service, which is exact for
+    these graphs, where each such kind has a single bottleneck.
     """
     left = {name: count * 1000.0 for name, count in slots.items()}
     total = 0.0
@@ -324,7 +324,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Case:
-    """One run to be made."""
+    """Parameters of one run."""
 
     graph: str
     variant: str
@@ -334,7 +334,7 @@
 
 
 def run_case(case: Case) -> Result:
-    """Make one run, in a process of its own."""
+    """Execute one run; call it in a separate process."""
     variants.VARIANTS[case.variant]()
     storm = case.scenario == "storm"
     seconds = WARM_S + TRIGGER_S + RECOVERY_S if storm else 25
@@ -351,7 +351,7 @@
 
 
 def run_cases(cases: list[Case], workers: int = 6) -> list[Result]:
-    """Make runs side by side; each in a fresh process, since variants change it."""
+    """Execute runs in parallel, each in a new process, since variants patch modules."""
     with concurrent.futures.ProcessPoolExecutor(
         max_workers=workers, max_tasks_per_child=1
     ) as pool:
@@ -371,7 +371,7 @@
         cases += [
             Case(graph, name, "storm", STORM_DEMAND) for name in names if name != OURS
         ]
-    # The longest first, so that none is left running alone at the end.
+    # Start the longest cases first to keep all workers busy.
     return sorted(
         cases, key=lambda case: -case.demand - 20 * (case.scenario == "storm")
     )
@@ -381,7 +381,7 @@
 
 
 class Report:
-    """The figures of all runs, with their bounds.
+    """Report of the figures of all runs with their bounds.
 
     :param results: one for each case.
     """
--- a/benchmarks/plots.py
+++ b/benchmarks/plots.py
@@ -1,4 +1,4 @@
-"""Draws the time lines of the storm and the slopes of control, as SVG files.
+"""Draws the timelines of the storm and the cost of the control plane as SVG files.
 
 Run after ``benchmarks.overload`` and ``benchmarks.cost --record``.
 """
@@ -27,7 +27,7 @@
 
 
 def storm(rows: list[dict[str, typing.Any]], graph: str) -> None:
-    """Draw completed roots a second through the storm, ours and the baselines."""
+    """Draw completed roots a second in the storm, gingerturn and the baselines."""
     figure, axis = pyplot.subplots(figsize=(8, 4), layout="constrained")
     for variant in SHOWN:
         row = next(
@@ -53,7 +53,7 @@
 
 
 def slopes() -> None:
-    """Draw control's processor time and bytes against the members."""
+    """Draw processor time and bytes of the control plane by number of members."""
     found = json.loads(cost.SLOPES.read_text())
     figure, (left, right) = pyplot.subplots(
         1, 2, figsize=(9, 3.5), layout="constrained"
@@ -70,7 +70,7 @@
 
 
 def memory_and_events() -> None:
-    """Draw a node's memory by state, and events a second by kind."""
+    """Draw the memory of a node by state and events a second by kind."""
     found = json.loads(cost.SLOPES.read_text())
     for name, values, unit, bound in (
         ("memory", found["memory_states_mb"], "MB", 64.0),
@@ -86,7 +86,7 @@
 
 
 def log_and_changes() -> None:
-    """Draw appends and idle time by nodes, and how fast a change is in force."""
+    """Draw appends and idle time by number of nodes, and propagation of a change."""
     found = json.loads(cost.SLOPES.read_text())
     figure, (left, right) = pyplot.subplots(1, 2, figsize=(9, 3), layout="constrained")
     for axis, key, label in (
@@ -107,7 +107,7 @@
 
 
 def main() -> None:
-    """Draw everything there are figures for."""
+    """Draw all plots whose figures are available."""
     rows = json.loads((overload.OUT / "overload.json").read_text())
     for graph in sorted({row["graph"] for row in rows}):
         storm(rows, graph)
--- a/benchmarks/reducer_rate.py
+++ b/benchmarks/reducer_rate.py
@@ -1,4 +1,4 @@
-"""How many events of each kind one core reduces in a second, without any I/O."""
+"""Throughput of the reducer on one core by kind of event, without I/O."""
 
 import gc
 import time
@@ -28,7 +28,7 @@
 SIZES = (4, 19, 38, 95, 400)
 SIZED_CALLS = 5_000
 MID_CLASS_LEVEL = ranks.BAND // 2
-"""A level through the middle of the lowest class."""
+"""Level in the middle of the lowest importance class."""
 
 REPORT = messages.LoadReport(
     level=ids.Rank(0), tree_level=ids.Rank(0), load=3, limit=100
@@ -70,7 +70,7 @@
         begun = time.perf_counter()
         reducer.reduce(state, answer)
         spent["AttemptAnswered"] += time.perf_counter() - begun
-        # Calls end before their deadlines, which a real node drops as they pass.
+        # A real node removes deadlines as they pass.
         state.deadlines.clear()
     return {name: CALLS / seconds for name, seconds in spent.items()}
 
@@ -119,7 +119,7 @@
 
 
 def refusal_rate() -> dict[str, float]:
-    """Return arrivals a second that are refused by level before any work."""
+    """Return arrivals a second that are refused by the reported level."""
     state = _entry_state()
     high = messages.LoadReport(
         level=ids.Rank(1 << 19), tree_level=ids.Rank(0), load=100, limit=100
@@ -135,7 +135,7 @@
 
 
 def tick_rate() -> dict[str, float]:
-    """Return ticks a second of a node that knows 4,200 members."""
+    """Return ticks a second of a node with 4,200 members in its table."""
     state = _entry_state()
     count = 3_000
     begun = time.perf_counter()
@@ -146,7 +146,7 @@
 
 
 def upstream_bytes(count: int = 60_000) -> float:
-    """Return the memory that one upstream called before takes."""
+    """Return the bytes of state kept for one upstream that was called."""
     state = _entry_state()
     gc.collect()
     before = control.rss_mb()
@@ -158,7 +158,7 @@
 
 
 def _entry_with_upstreams(count: int, *, level: int, suspected: bool) -> states.State:
-    """Return an entry of a service with so many upstreams that all told a level."""
+    """Return the state of an entry node whose upstreams all reported a level."""
     state = control.node_with_members(4)
     state.configuration = configuration.Configuration(control.documents())
     members = [
@@ -188,7 +188,7 @@
 def arrival_us(count: int, *, level: int, suspected: bool) -> float:
     """Return the time of a call's arrival in microseconds.
 
-    :param level: a level in force lets the kind's half pass.
+    :param level: reported level; ``MID_CLASS_LEVEL`` admits half of the kind.
     """
     state = _entry_with_upstreams(count, level=level, suspected=suspected)
     spent = 0.0
@@ -199,13 +199,13 @@
         spent += time.perf_counter() - begun
         for opened in out:
             if isinstance(opened, effects.OpenAttempt):
-                told = msgspec.structs.replace(REPORT, level=ids.Rank(level))
+                report = msgspec.structs.replace(REPORT, level=ids.Rank(level))
                 answer = events.AttemptAnswered(
                     now=state.now,
                     attempt=opened.attempt,
                     status=200,
                     tokens=0,
-                    report=told,
+                    report=report,
                 )
                 reducer.reduce(state, answer)
         state.deadlines.clear()
@@ -213,7 +213,7 @@
 
 
 def print_sizes() -> None:
-    """Print what a call's arrival costs by the number of its service's upstreams."""
+    """Print the time of a call's arrival by number of upstreams of its service."""
     print("us a CallArrived, by upstreams of the service")
     print(f"{'':>10} {'calm':>8} {'level':>8} {'suspect':>8} {'both':>8}")
     for count in SIZES:
--- a/benchmarks/workspaces.py
+++ b/benchmarks/workspaces.py
@@ -67,63 +67,73 @@
     return capped.Deployment(cap, nodes=nodes)
 
 
-def _served(made: capped.Deployment) -> float:
-    return len(made.admitted["shop"]) / max(1, made.sent["shop"])
+def _served(deployment: capped.Deployment) -> float:
+    return len(deployment.admitted["shop"]) / max(1, deployment.sent["shop"])
 
 
 def _calm(nodes: int) -> float:
-    made = _deployment(nodes)
-    made.load("shop", made.names, rate=MODERATE_RATE, duration_ms=1_000.0 * SECONDS)
-    made.world.run(1_000.0 * SECONDS + 500.0)
-    return _served(made)
+    deployment = _deployment(nodes)
+    deployment.load(
+        "shop", deployment.names, rate=MODERATE_RATE, duration_ms=1_000.0 * SECONDS
+    )
+    deployment.world.run(1_000.0 * SECONDS + 500.0)
+    return _served(deployment)
 
 
 def _skewed(nodes: int) -> float:
-    made = _deployment(nodes)
-    made.load("shop", made.names[:2], rate=MODERATE_RATE, duration_ms=1_000.0 * SECONDS)
-    made.world.run(1_000.0 * SECONDS + 500.0)
-    return _served(made)
+    deployment = _deployment(nodes)
+    deployment.load(
+        "shop", deployment.names[:2], rate=MODERATE_RATE, duration_ms=1_000.0 * SECONDS
+    )
+    deployment.world.run(1_000.0 * SECONDS + 500.0)
+    return _served(deployment)
 
 
 def _moving(nodes: int) -> float:
-    made = _deployment(nodes)
+    deployment = _deployment(nodes)
     for second in range(SECONDS):
-        node = made.names[second % nodes]
-        made.load("shop", [node], rate=MODERATE_RATE, duration_ms=1_000.0)
-        made.world.run(1_000.0)
-    return _served(made)
+        node = deployment.names[second % nodes]
+        deployment.load("shop", [node], rate=MODERATE_RATE, duration_ms=1_000.0)
+        deployment.world.run(1_000.0)
+    return _served(deployment)
 
 
 def _partitioned(nodes: int) -> float:
-    made = _deployment(nodes)
-    made.load("shop", made.names, rate=MODERATE_RATE, duration_ms=1_000.0 * SECONDS)
-    made.world.run(1_000.0)
-    made.partition(set(made.names[: max(1, nodes * 2 // 5)]))
-    made.world.run(1_000.0 * SECONDS)
-    return _served(made)
+    deployment = _deployment(nodes)
+    deployment.load(
+        "shop", deployment.names, rate=MODERATE_RATE, duration_ms=1_000.0 * SECONDS
+    )
+    deployment.world.run(1_000.0)
+    deployment.partition(set(deployment.names[: max(1, nodes * 2 // 5)]))
+    deployment.world.run(1_000.0 * SECONDS)
+    return _served(deployment)
 
 
 def _restarted(nodes: int) -> float:
-    made = _deployment(nodes)
-    made.world.run(3_000.0)
-    for name in made.names:
-        made.world.kill(name)
-    made.world.run(1_000.0)
-    for name in made.names:
-        made.world.restart(name)
-    made.world.run(1_000.0)
-    made.load("shop", made.names, rate=MODERATE_RATE, duration_ms=1_000.0 * SECONDS)
-    made.world.run(1_000.0 * SECONDS + 500.0)
-    return _served(made)
+    deployment = _deployment(nodes)
+    deployment.world.run(3_000.0)
+    for name in deployment.names:
+        deployment.world.kill(name)
+    deployment.world.run(1_000.0)
+    for name in deployment.names:
+        deployment.world.restart(name)
+    deployment.world.run(1_000.0)
+    deployment.load(
+        "shop", deployment.names, rate=MODERATE_RATE, duration_ms=1_000.0 * SECONDS
+    )
+    deployment.world.run(1_000.0 * SECONDS + 500.0)
+    return _served(deployment)
 
 
 def _overloaded(nodes: int) -> tuple[float, float]:
-    """Return the most requests admitted in a window, over its bound and the cap."""
-    made = _deployment(nodes)
-    made.load("shop", made.names, rate=4.7 * RATE, duration_ms=1_000.0 * SECONDS)
-    made.world.run(1_000.0 * SECONDS)
+    """Return the maximum requests admitted in a window over its bound and the cap."""
+    deployment = _deployment(nodes)
+    deployment.load(
+        "shop", deployment.names, rate=4.7 * RATE, duration_ms=1_000.0 * SECONDS
+    )
+    deployment.world.run(1_000.0 * SECONDS)
     window = RATE * 5.0 + RATE
-    most = made.max_in_window("shop", 5_000.0)
+    most = deployment.max_in_window("shop", 5_000.0)
     return most / (1.1 * window + 20.0), most / window
 
 
@@ -132,17 +142,17 @@
     node and by the cap allocator."""
     names = [f"w{number}" for number in range(workspaces)]
     listed = [routes.workspace(name, [name], rate=RATE, burst=RATE) for name in names]
-    made = capped.Deployment(*listed, nodes=nodes)
+    deployment = capped.Deployment(*listed, nodes=nodes)
     sent: dict[str, int] = {}
-    inner = made.world.on_effect
+    inner = deployment.world.on_effect
 
     def count(node: parts.FakeNode, effect: effects.Effect) -> None:
         inner(node, effect)
         if isinstance(effect, effects.SendGossip) and effect.message.caps is not None:
-            data = datagrams.encode(b"s", "n", made.world.now, effect.message)
+            data = datagrams.encode(b"s", "n", deployment.world.now, effect.message)
             sent[node.name] = sent.get(node.name, 0) + len(data)
 
-    made.world.on_effect = count
+    deployment.world.on_effect = count
     spent = 0.0
     admitted = 0
     admit = caps.admit
@@ -157,14 +167,17 @@
 
     rate = min(20.0 * nodes, 2_000.0) / workspaces
     for index, name in enumerate(names):
-        at = [made.names[(index * 7 + step) % nodes] for step in range(min(nodes, 10))]
-        made.load(name, at, rate=rate, duration_ms=4_000.0)
+        at = [
+            deployment.names[(index * 7 + step) % nodes]
+            for step in range(min(nodes, 10))
+        ]
+        deployment.load(name, at, rate=rate, duration_ms=4_000.0)
     with unittest.mock.patch.object(caps, "admit", timed):
-        made.world.run(4_000.0)
-    keeper = next(iter(made.world.nodes.values())).state.caps.allocator
-    others = [count / 4.0 for name, count in sent.items() if name != keeper]
-    usual = sum(others) / max(1, len(others))
-    return 1e6 * spent / max(1, admitted), usual, sent.get(keeper, 0) / 4.0
+        deployment.world.run(4_000.0)
+    allocator = next(iter(deployment.world.nodes.values())).state.caps.allocator
+    others = [count / 4.0 for name, count in sent.items() if name != allocator]
+    node_bytes = sum(others) / max(1, len(others))
+    return 1e6 * spent / max(1, admitted), node_bytes, sent.get(allocator, 0) / 4.0
 
 
 def compare_caps(sizes: list[int]) -> None:
@@ -182,14 +195,14 @@
         for nodes in sizes:
             for workspaces in (76, 2_000):
                 with _patched(patches):
-                    us, usual, kept = _cost(nodes, workspaces)
+                    us, node_bytes, allocator_bytes = _cost(nodes, workspaces)
                 row = f"{way} | {nodes} | {workspaces} | {us:.1f}"
-                print(f"{row} | {usual:.0f} | {kept:.0f}", flush=True)
+                print(f"{row} | {node_bytes:.0f} | {allocator_bytes:.0f}", flush=True)
 
 
 def _keyed_world(nodes: int) -> worlds.World:
     spec = parts.ServiceSpec(capped.SERVICE, nodes, 100, {"lookup": 5.0})
-    made = worlds.World(
+    world = worlds.World(
         seed=3,
         services=[spec],
         documents={},
@@ -197,19 +210,19 @@
         table=capped.table(routes.workspace("shop", ["shop"])),
         revoke_ms=REVOKE_MS,
     )
-    made.gossip_on = True
-    made.run(5_000.0)
-    return made
+    world.gossip_on = True
+    world.run(5_000.0)
+    return world
 
 
-def _observe(made: worlds.World, duration_ms: float) -> tuple[float, float]:
-    """Return the oldest evidence, and node-seconds in which keys were refused."""
+def _observe(world: worlds.World, duration_ms: float) -> tuple[float, float]:
+    """Return the maximum age of evidence and the node-seconds of refused keys."""
     oldest = closed = 0.0
     for _ in range(int(duration_ms / 50.0)):
-        made.run(50.0)
-        for node in made.nodes.values():
-            oldest = max(oldest, made.now - node.state.freshness.verified_at)
-            closed += 0.05 * _is_stale(node.state, made.now)
+        world.run(50.0)
+        for node in world.nodes.values():
+            oldest = max(oldest, world.now - node.state.freshness.verified_at)
+            closed += 0.05 * _is_stale(node.state, world.now)
     return oldest, closed
 
 
@@ -230,7 +243,7 @@
 
 
 def _print_keys(way: str, nodes: int) -> None:
-    made = _keyed_world(nodes)
+    world = _keyed_world(nodes)
     reads = sent = 0
 
     def count(node: parts.FakeNode, effect: effects.Effect) -> None:
@@ -238,45 +251,45 @@
         if isinstance(effect, effects.ReadLog):
             reads += 1
         elif isinstance(effect, effects.SendGossip):
-            sent += len(datagrams.encode(b"s", "n", made.now, effect.message))
+            sent += len(datagrams.encode(b"s", "n", world.now, effect.message))
 
-    made.on_effect = count
-    oldest, _ = _observe(made, 6_000.0)
+    world.on_effect = count
+    oldest, _ = _observe(world, 6_000.0)
     calm_reads, calm_sent = reads / 6.0, sent / 6.0 / nodes
-    made.log.refused_nodes = {
-        n.name for n in made.nodes.values() if member_order.is_zone_first(n.state)
+    world.log.refused_nodes = {
+        n.name for n in world.nodes.values() if member_order.is_zone_first(n.state)
     }
-    _, closed = _observe(made, 6_000.0)
-    made.log.refused_nodes = set()
-    made.run(3_000.0)
-    made.log.silent = True
-    all_closed = _time_until(made, lambda age: age > freshness_limit())
-    made.log.silent = False
-    opened = _time_until(made, lambda age: age <= freshness_limit())
+    _, closed = _observe(world, 6_000.0)
+    world.log.refused_nodes = set()
+    world.run(3_000.0)
+    world.log.silent = True
+    all_closed = _time_until(world, lambda age: age > freshness_limit())
+    world.log.silent = False
+    opened = _time_until(world, lambda age: age <= freshness_limit())
     row = f"{way} | {nodes} | {calm_reads:.1f} | {calm_sent:.0f} | {oldest:.0f}"
     print(f"{row} | {closed:.1f} | {all_closed:.0f} | {opened:.0f}", flush=True)
 
 
 def freshness_limit() -> float:
-    """Return the greatest age of the evidence by which keys are accepted."""
+    """Return the maximum age of the evidence at which keys are accepted."""
     return REVOKE_MS - freshness.MARGIN_MS
 
 
 def _time_until(
-    made: worlds.World, wanted: collections.abc.Callable[[float], bool]
+    world: worlds.World, wanted: collections.abc.Callable[[float], bool]
 ) -> float:
-    begun = made.now
-    while made.now - begun < 20_000.0:
-        made.run(50.0)
-        ages = [made.now - n.state.freshness.verified_at for n in made.nodes.values()]
+    begun = world.now
+    while world.now - begun < 20_000.0:
+        world.run(50.0)
+        ages = [world.now - n.state.freshness.verified_at for n in world.nodes.values()]
         if all(map(wanted, ages)):
             break
-    return made.now - begun
+    return world.now - begun
 
 
 def main() -> None:
     """Print both tables."""
-    sizes = [int(word) for word in sys.argv[1:]] or [4, 68]
+    sizes = [int(argument) for argument in sys.argv[1:]] or [4, 68]
     compare_caps(sizes)
     compare_keys(sizes)
 
