--- a/src/gingerturn/internal/core/messages.py
+++ b/src/gingerturn/internal/core/messages.py
@@ -19,7 +19,7 @@
 
 
 class Outcome(enum.Enum):
-    """What a caller is told about the run when the backend server gave no answer."""
+    """Whether a call ran, as reported to a caller that gets no backend answer."""
 
     NOT_RUN = "not-run"
     UNKNOWN = "unknown"
