--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass
-class Control:
+class ControlPlaneCost:
     """What one node spends at a size.
 
     :param cpu_share: share of a core.
@@ -72,7 +72,7 @@
     )
 
 
-def node_with(count: int) -> states.State:
+def node_with_members(count: int) -> states.State:
     """Return a node that knows so many members, all rumours spent."""
     started = events.Started(
         now=START,
@@ -112,7 +112,9 @@
     )
 
 
-def control(members: int, *, changes_per_day: float, seconds: int = 60) -> Control:
+def control_plane_cost(
+    members: int, *, changes_per_day: float, seconds: int = 60
+) -> ControlPlaneCost:
     """Measure one node for some seconds of the fake clock.
 
     :param changes_per_day: member updates in the whole network; each replaced
@@ -120,7 +122,7 @@
     """
     gc.collect()
     before = rss_mb()
-    state = node_with(members)
+    state = node_with_members(members)
     memory = rss_mb() - before
     chance = random.Random(1)
     news_per_second = changes_per_day / 86_400.0
@@ -143,11 +145,11 @@
         begun = time.thread_time()
         for event in batch:
             if isinstance(event, events.DatagramReceived):
-                _wire(event.message, now)
+                _round_trip(event.message, now)
             for effect in reducer.reduce(state, event):
-                sent += _carry_out(state, effect, now)
+                sent += _execute(state, effect, now)
         spent += time.thread_time() - begun
-    return Control(
+    return ControlPlaneCost(
         members=members,
         cpu_share=spent / seconds,
         bytes_per_second=sent / seconds,
@@ -155,21 +157,21 @@
     )
 
 
-def _wire(message: messages.Gossip, now: float) -> int:
+def _round_trip(message: messages.Gossip, now: float) -> int:
     """Encode and decode a message as its two ends do."""
     datagram = datagrams.encode(SECRET, ids.NodeId("me"), now, message)
     datagrams.decode([SECRET], datagram)
     return len(datagram) + UDP_HEADERS
 
 
-def _carry_out(state: states.State, effect: effects.Effect, now: float) -> int:
+def _execute(state: states.State, effect: effects.Effect, now: float) -> int:
     """Let a sent message be answered; return its bytes."""
     if not isinstance(effect, effects.SendGossip):
         return 0
-    size = _wire(effect.message, now)
+    size = _round_trip(effect.message, now)
     if effect.message.kind is messages.GossipKind.PING:
         answer = _gossip(now, (), messages.GossipKind.ACK, effect.message.sequence)
-        _wire(answer.message, now)
+        _round_trip(answer.message, now)
         reducer.reduce(state, answer)
     return size
 
@@ -305,7 +307,7 @@
 def main() -> None:
     """Print the figures."""
     for size in (10, 100, 1_000, 4_200, 5_000):
-        print(control(size, changes_per_day=4_032, seconds=30))
+        print(control_plane_cost(size, changes_per_day=4_032, seconds=30))
     print(configuration_cost())
     print("decisions: MB, us", decisions_cost())
     print("key: bytes", key_cost())
--- a/benchmarks/deployments.py
+++ b/benchmarks/deployments.py
@@ -16,8 +16,8 @@
     service: str
     work_ms: float
     calls: tuple[str, ...] = ()
-    per_s: float = 0.0
-    aim_ms: int = 1_000
+    rate_per_s: float = 0.0
+    target_ms: int = 1_000
     budget_ms: int = 5_000
     timeout_ms: int = 5_000
     worth: float = 0.0
@@ -41,7 +41,7 @@
     name: str
     slots: int
     speeds: tuple[float, ...]
-    crowded: float = 1.0
+    contention_factor: float = 1.0
 
 
 @dataclasses.dataclass(frozen=True)
@@ -57,7 +57,7 @@
     caller_ms: float
     services: tuple[Service, ...]
     kinds: tuple[Kind, ...]
-    scarce: str
+    bottleneck: str
     retry_slack: float = 49.0
 
 
@@ -102,7 +102,7 @@
         Kind("imsi-range", "profiles", 15.0, ("stock-check",) * 4, timeout_ms=2_000),
         Kind("stock-check", "provisioning", 22.0, timeout_ms=700),
     ),
-    scarce="provisioning",
+    bottleneck="provisioning",
 )
 
 COOPCARGA = Site(
@@ -157,7 +157,7 @@
         Kind("tariff", "despacho", 15.0, ("dg-code",) * 4, timeout_ms=2_500),
         Kind("dg-code", "paletes", 30.0, timeout_ms=700),
     ),
-    scarce="paletes",
+    bottleneck="paletes",
 )
 
 MAWID = Site(
@@ -224,13 +224,13 @@
         Kind("quota-read", "booking", 15.0, ("case-fetch",) * 4, timeout_ms=2_000),
         Kind("case-fetch", "tracker", 30.0, timeout_ms=700),
     ),
-    scarce="tracker",
+    bottleneck="tracker",
     retry_slack=50.0,
 )
 
 LARGE_NODES = 194
 LARGE_UPSTREAMS = {"plans": 95, "porting": 69, "profiles": 20, "provisioning": 10}
-LARGE_CROWDED = {"provisioning": 1.3}
+LARGE_CONTENTION = {"provisioning": 1.3}
 LARGE_SLOTS = {"plans": 15, "porting": 15, "profiles": 34, "provisioning": 18}
 
 
@@ -246,7 +246,7 @@
     for name, count in LARGE_UPSTREAMS.items():
         upstreams = max(1, round(count * ratio))
         slots = max(1, round(LARGE_SLOTS[name] * count / upstreams))
-        crowded = LARGE_CROWDED.get(name, 1.0)
+        crowded = LARGE_CONTENTION.get(name, 1.0)
         services.append(Service(name, slots, (1.0,) * upstreams, crowded))
     return Site(
         name="large" if nodes == LARGE_NODES else f"large-{nodes}",
@@ -254,7 +254,7 @@
         caller_ms=3.0,
         services=tuple(services),
         kinds=_LARGE_KINDS,
-        scarce="provisioning",
+        bottleneck="provisioning",
         retry_slack=213.0,
     )
 
--- a/benchmarks/graphs.py
+++ b/benchmarks/graphs.py
@@ -162,7 +162,7 @@
     services: list[parts.ServiceSpec]
     kinds: dict[str, parts.KindSpec]
     mix: dict[str, float]
-    patience_ms: dict[str, float]
+    abandon_after_ms: dict[str, float]
     protected: str
     deepest: str
 
@@ -260,7 +260,7 @@
             "port-request": parts.KindSpec("port-request", "porting", "POST", "/ports"),
         },
         mix={"plan-status": 0.9, "port-request": 0.1},
-        patience_ms={"plan-status": 3_000.0, "port-request": 8_000.0},
+        abandon_after_ms={"plan-status": 3_000.0, "port-request": 8_000.0},
         protected="port-request",
         deepest="provisioning",
     )
@@ -301,7 +301,7 @@
             "sign-off": parts.KindSpec("sign-off", "balanca", "POST", "/sign"),
         },
         mix={"manifest-view": 0.45, "customs-pack": 0.47, "sign-off": 0.08},
-        patience_ms={
+        abandon_after_ms={
             "manifest-view": 6_000.0,
             "customs-pack": 7_000.0,
             "sign-off": 12_000.0,
--- a/benchmarks/variants.py
+++ b/benchmarks/variants.py
@@ -29,7 +29,7 @@
 )
 
 _PER_HOP_ATTEMPTS = 4
-_TRY_SHARE = 2 / 3
+_ATTEMPT_DEADLINE_SHARE = 2 / 3
 
 
 def nothing() -> None:
@@ -64,7 +64,7 @@
     ) -> None:
         original(state, call, node, out)
         opened = out[-1]
-        left = opened.metadata.deadline_ms * _TRY_SHARE
+        left = opened.metadata.deadline_ms * _ATTEMPT_DEADLINE_SHARE
         metadata = msgspec.structs.replace(opened.metadata, deadline_ms=left)
         out[-1] = msgspec.structs.replace(opened, metadata=metadata)
 
--- a/tooling/gingerturn_demo/__main__.py
+++ b/tooling/gingerturn_demo/__main__.py
@@ -8,7 +8,7 @@
 
 
 @click.command()
-@click.argument("name", type=click.Choice(sorted(scene.SCENES)))
+@click.argument("name", type=click.Choice(sorted(scene.SCENARIOS)))
 @click.option(
     "--out",
     type=click.Path(path_type=pathlib.Path),
@@ -20,7 +20,7 @@
     """Run a user's graph at small size through a surge and its recovery."""
     folder = out / name
     folder.mkdir(parents=True, exist_ok=True)
-    outcome = scene.play(scene.SCENES[name](), folder)
+    outcome = scene.play(scene.SCENARIOS[name](), folder)
     picture = show.draw(outcome, folder / "report.svg")
     report = show.write(outcome, picture)
     (folder / "report.txt").write_text(report)
--- a/tooling/gingerturn_demo/scene.py
+++ b/tooling/gingerturn_demo/scene.py
@@ -17,7 +17,7 @@
 
 WARM_S = 6
 TRIGGER_S = 10
-AFTER_S = 12
+RECOVERY_S = 12
 CALLER_ATTEMPTS = 4
 CALLER_TIMEOUT_S = 4.0
 
@@ -47,7 +47,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Scene:
+class Scenario:
     """What is to be played.
 
     :param deepest: service that is slowed while the surge lasts.
@@ -64,25 +64,25 @@
 class Outcome:
     """What was seen; lists hold one number a second."""
 
-    scene: Scene
+    scenario: Scenario
     goodput: dict[str, list[int]]
     refused: dict[str, list[int]]
     sent: dict[str, int]
     complete: dict[str, int]
     attempts: list[float]
-    longest_refusal_ms: float
+    max_refusal_ms: float
     keys: int
-    keys_run: int
-    keys_twice: int
+    keys_executed: int
+    keys_executed_twice: int
     unknown: int
     revision_s: float
-    drained_exit: int
-    explained: str
+    stop_exit_status: int
+    explanation: str
 
 
-def brolga() -> Scene:
+def brolga() -> Scenario:
     """Return Brolga Connect at small size."""
-    return Scene(
+    return Scenario(
         name="brolga",
         document=graphs.BROLGA_DOCUMENT.replace('key = "generated"\n', ""),
         upstreams=(
@@ -106,9 +106,9 @@
     )
 
 
-def coopcarga() -> Scene:
+def coopcarga() -> Scenario:
     """Return Coopcarga Nordeste at small size."""
-    return Scene(
+    return Scenario(
         name="coopcarga",
         document=graphs.COOPCARGA_DOCUMENT.replace('key = "generated"\n', ""),
         upstreams=(
@@ -133,7 +133,7 @@
     )
 
 
-SCENES = {"brolga": brolga, "coopcarga": coopcarga}
+SCENARIOS = {"brolga": brolga, "coopcarga": coopcarga}
 
 
 def new_key() -> str:
@@ -143,18 +143,18 @@
     return str(uuid.UUID(int=(stamp << 80) | (7 << 76) | (2 << 62) | low))
 
 
-class _Player:
+class _LoadGenerator:
     """Callers that retry hard, and their count."""
 
-    def __init__(self, scene: Scene, entries: list[str], seconds: int) -> None:
-        self.scene = scene
+    def __init__(self, scene: Scenario, entries: list[str], seconds: int) -> None:
+        self.scenario = scene
         self.entries = entries
         names = [load.name for load in scene.loads]
         self.goodput = {name: [0] * (seconds + 30) for name in names}
         self.refused = {name: [0] * (seconds + 30) for name in names}
         self.sent = dict.fromkeys(names, 0)
         self.complete = dict.fromkeys(names, 0)
-        self.longest_refusal_ms = 0.0
+        self.max_refusal_ms = 0.0
         self.keys: list[str] = []
         self.unknown = 0
         self.refused_decision = ""
@@ -169,7 +169,7 @@
         self, client: httpx.AsyncClient, load: Load, surge: tuple[float, float]
     ) -> None:
         """Send roots of one kind at its rate until the end."""
-        end = self.begun + WARM_S + TRIGGER_S + AFTER_S
+        end = self.begun + WARM_S + TRIGGER_S + RECOVERY_S
         while time.monotonic() < end:
             now = time.monotonic() - self.begun
             rate = load.surge if surge[0] <= now < surge[1] else load.rate
@@ -204,21 +204,21 @@
                 self.goodput[load.name][self.second()] += 1
                 self.complete[load.name] += 1
                 return
-            self._note_failure(load, reply, begun)
+            self._record_failure(load, reply, begun)
         # Callers retry at once, whatever Retry-After says; that is the point here.
 
-    def _note_failure(self, load: Load, reply: httpx.Response, begun: float) -> None:
+    def _record_failure(self, load: Load, reply: httpx.Response, begun: float) -> None:
         self.refused[load.name][self.second()] += 1
         outcome = reply.headers.get("gingerturn-outcome", "")
         if outcome == "not-run":
             elapsed = (time.monotonic() - begun) * 1000.0
-            self.longest_refusal_ms = max(self.longest_refusal_ms, elapsed)
+            self.max_refusal_ms = max(self.max_refusal_ms, elapsed)
             self.refused_decision = reply.headers.get("gingerturn-decision", "")
         else:
             self.unknown += 1
 
 
-def play(scene: Scene, folder: pathlib.Path) -> Outcome:
+def play(scene: Scenario, folder: pathlib.Path) -> Outcome:
     """Play a scene and return what was seen."""
     with processes.Cluster(folder) as cluster:
         for upstreams in scene.upstreams:
@@ -242,9 +242,11 @@
         return asyncio.run(_play(scene, cluster, revision_s))
 
 
-async def _play(scene: Scene, cluster: processes.Cluster, revision_s: float) -> Outcome:
+async def _play(
+    scene: Scenario, cluster: processes.Cluster, revision_s: float
+) -> Outcome:
     entries = [node.entry for node in cluster.nodes.values()]
-    player = _Player(scene, entries, WARM_S + TRIGGER_S + AFTER_S)
+    player = _LoadGenerator(scene, entries, WARM_S + TRIGGER_S + RECOVERY_S)
     attempts: list[float] = []
     limits = httpx.Limits(max_connections=400, max_keepalive_connections=400)
     async with httpx.AsyncClient(trust_env=False, limits=limits) as client:
@@ -258,46 +260,47 @@
         await _slow(client, scene, cluster, 3.0)
         await asyncio.sleep(TRIGGER_S)
         await _slow(client, scene, cluster, 1.0)
-        await asyncio.sleep(AFTER_S / 2)
-        drained = await _drain_one(scene, cluster, player)
+        await asyncio.sleep(RECOVERY_S / 2)
+        drained = await _stop_node(scene, cluster, player)
         await asyncio.gather(*offers)
         sampling.cancel()
         explained = await _explain(client, cluster, player.refused_decision)
         counts = await _executions(client, cluster)
     return Outcome(
-        scene=scene,
+        scenario=scene,
         goodput=player.goodput,
         refused=player.refused,
         sent=player.sent,
         complete=player.complete,
         attempts=attempts,
-        longest_refusal_ms=player.longest_refusal_ms,
+        max_refusal_ms=player.max_refusal_ms,
         keys=len(player.keys),
-        keys_run=sum(1 for key in player.keys if counts[key]),
-        keys_twice=sum(1 for key in player.keys if counts[key] > 1),
+        keys_executed=sum(1 for key in player.keys if counts[key]),
+        keys_executed_twice=sum(1 for key in player.keys if counts[key] > 1),
         unknown=player.unknown,
         revision_s=revision_s,
-        drained_exit=drained,
-        explained=explained,
+        stop_exit_status=drained,
+        explanation=explained,
     )
 
 
-def _of_service(
-    cluster: processes.Cluster, service: str
-) -> list[processes.NodeProcess]:
+def _nodes_of(cluster: processes.Cluster, service: str) -> list[processes.NodeProcess]:
     return [n for name, n in cluster.nodes.items() if name.startswith(service)]
 
 
 async def _slow(
-    client: httpx.AsyncClient, scene: Scene, cluster: processes.Cluster, factor: float
+    client: httpx.AsyncClient,
+    scene: Scenario,
+    cluster: processes.Cluster,
+    factor: float,
 ) -> None:
-    for node in _of_service(cluster, scene.deepest):
+    for node in _nodes_of(cluster, scene.deepest):
         await client.post(f"{node.backend_url}/control", json={"slow": factor})
 
 
 async def _sample(
     client: httpx.AsyncClient,
-    scene: Scene,
+    scene: Scenario,
     cluster: processes.Cluster,
     attempts: list[float],
 ) -> None:
@@ -305,7 +308,7 @@
     before = collections.Counter[str]()
     while True:
         total = collections.Counter[str]()
-        for node in _of_service(cluster, scene.deepest):
+        for node in _nodes_of(cluster, scene.deepest):
             reply = await client.get(f"{node.backend_url}/counts")
             counts = reply.json()
             total["roots"] += counts["roots"]
@@ -317,12 +320,14 @@
         await asyncio.sleep(1.0)
 
 
-async def _drain_one(scene: Scene, cluster: processes.Cluster, player: _Player) -> int:
+async def _stop_node(
+    scene: Scenario, cluster: processes.Cluster, player: _LoadGenerator
+) -> int:
     """Stop one node of the first service as planned, under load.
 
     :return: its exit status: 0 when nothing was cut.
     """
-    node = _of_service(cluster, scene.upstreams[0].service)[-1]
+    node = _nodes_of(cluster, scene.upstreams[0].service)[-1]
     player.entries.remove(node.entry)
     await asyncio.sleep(0.2)
     node.node.send_signal(signal.SIGTERM)
--- a/tooling/gingerturn_soak/__main__.py
+++ b/tooling/gingerturn_soak/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m gingerturn_soak``: play random runs, or one again by its seed."""
+"""``python -m gingerturn_soak``: run random soaks, or repeat one by its seed."""
 
 import pathlib
 import random
@@ -11,28 +11,32 @@
 
 from gingerturn_soak import run
 
-KEPT = pathlib.Path("out/soak")
-"""Logs of runs that broke a promise."""
+FAILED_RUNS = pathlib.Path("out/soak")
+"""Folder for the logs of runs with violations."""
 
 
 @click.command()
-@click.option("--seed", "seeds", type=int, multiple=True, help="Play this one.")
-@click.option("--runs", default=1, help="How many fresh seeds.", show_default=True)
+@click.option(
+    "--seed", "seeds", type=int, multiple=True, help="Seed of a run to repeat."
+)
+@click.option(
+    "--runs", default=1, help="Number of runs with new seeds.", show_default=True
+)
 @click.option("--machines", default=4, show_default=True)
 @click.option("--length", default=12.0, help="Seconds of faults.", show_default=True)
 def main(seeds: tuple[int, ...], runs: int, machines: int, length: float) -> None:
-    """Play runs and print each one's verdict; exit with 1 if a promise was broken."""
-    # Ended by a signal too, a run ends the processes that it started.
+    """Run soaks and print each verdict; exit with 1 if there was a violation."""
+    # SIGTERM raises SystemExit, so that a run stops the processes that it started.
     signal.signal(signal.SIGTERM, lambda number, frame: sys.exit(128 + number))
     chosen = seeds or [random.SystemRandom().randrange(1 << 31) for _ in range(runs)]
     failed = [seed for seed in chosen if not play(seed, machines, length)]
-    click.echo(f"{len(chosen)} runs, {len(failed)} with a promise broken: {failed}")
+    click.echo(f"{len(chosen)} runs, {len(failed)} with violations: {failed}")
     sys.exit(bool(failed))
 
 
 def play(seed: int, machines: int, length: float) -> bool:
-    """Play a run and print its verdict; tell whether every promise was kept."""
-    # Told first: a run that ends with a fault of the soak itself can be played again.
+    """Run a soak and print its verdict; return whether there was no violation."""
+    # Printed first, so that a run in which the soak itself fails can be repeated.
     click.echo(f"seed {seed}: ", nl=False)
     with tempfile.TemporaryDirectory() as name:
         folder = pathlib.Path(name)
@@ -47,15 +51,15 @@
         )
         click.echo(
             f"{verdict.served} of {verdict.attempts} served,"
-            f" {len(verdict.steps)} steps, {len(verdict.broken)} broken"
+            f" {len(verdict.steps)} steps, {len(verdict.violations)} violations"
         )
-        if not verdict.broken:
+        if not verdict.violations:
             return True
-        for line in [*verdict.steps, *verdict.broken[:10]]:
+        for line in [*verdict.steps, *verdict.violations[:10]]:
             click.echo(f"    {line}")
-        kept = KEPT / str(seed)
-        shutil.copytree(folder, kept, dirs_exist_ok=True)
-        click.echo(f"    logs: {kept}")
+        copied = FAILED_RUNS / str(seed)
+        shutil.copytree(folder, copied, dirs_exist_ok=True)
+        click.echo(f"    logs: {copied}")
     return False
 
 
--- a/tooling/gingerturn_soak/callers.py
+++ b/tooling/gingerturn_soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers: they keep their connections open and write down what they got."""
+"""Callers with persistent connections that record the answer to each request."""
 
 import asyncio
 import contextlib
@@ -15,21 +15,21 @@
 DEADLY_IDS = "deadly-"
 DEADLINE_MS = 2_000
 TIMEOUT_S = 6.0
-"""A caller waits this long for an answer although it told the node 2 s: nodes must
-answer by then, and what they do not answer shows."""
+"""How long a caller waits for an answer: longer than the deadline that it sends, so
+that late answers are observed."""
 
-PAUSE_S = 0.08
-"""Between two requests of a caller; a request that waits holds up no other."""
+REQUEST_INTERVAL_S = 0.08
+"""Interval between requests of a caller, which do not wait for each other."""
 
 
 class Attempt(msgspec.Struct):
-    """One request, and what came of it.
+    """One request and its result.
 
-    :param version: version of the configuration that a probe asks for.
-    :param incarnation: how often the node was started before.
+    :param version: configuration version that a probe requests; 0 for no probe.
+    :param incarnation: number of earlier starts of the node.
     :param status: 0 while there is none.
-    :param whole: a success had the right signature and the whole body.
-    :param problem: how the exchange broke, if it did.
+    :param intact: whether a success had the expected signature and body.
+    :param error: how the exchange failed, if it did.
     """
 
     id: str
@@ -39,21 +39,21 @@
     began: float
     ended: float = 0.0
     status: int = 0
-    whole: bool = True
-    problem: str = ""
+    intact: bool = True
+    error: str = ""
     version: int = 0
 
 
 def now_ms() -> float:
-    """Return the time of day that the backend servers write too."""
+    """Return the wall clock in ms, which backend servers log too."""
     return time.time() * 1000.0
 
 
 class Callers:
     """The callers of one machine.
 
-    :param name: the machine's.
-    :param port: where its node, or the proxy before it, takes callers.
+    :param name: name of the machine.
+    :param port: where its node, or the proxy in front of it, accepts callers.
     """
 
     def __init__(self, name: str, port: int) -> None:
@@ -70,13 +70,13 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Send requests until told to stop, and wait for the last answers."""
+        """Send requests until stopped, and wait for the last answers."""
         while not stop.is_set():
             self._spawn("GET", "/a/x", "plans")
             self._spawn("POST", "/p/x", "porting")
             if self.version:
                 self._spawn("GET", f"/v/{self.version}/", "", version=self.version)
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(REQUEST_INTERVAL_S)
         await asyncio.gather(*self._tasks)
         await self._client.aclose()
 
@@ -90,12 +90,12 @@
             version=version,
         )
         self.attempts.append(attempt)
-        task = asyncio.create_task(self._ask(attempt, method, path, service))
+        task = asyncio.create_task(self._send(attempt, method, path, service))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def send_deadly(self, number: int) -> None:
-        """Send a request that ends backend servers; nobody misses its answer."""
+        """Send a request that crashes backend servers; its answer is ignored."""
         headers = {
             "Host": HOST,
             "Request-Id": f"{DEADLY_IDS}{number}",
@@ -105,7 +105,7 @@
         with contextlib.suppress(httpx.HTTPError):
             await self._client.get(url, headers=headers)
 
-    async def _ask(
+    async def _send(
         self, attempt: Attempt, method: str, path: str, service: str
     ) -> None:
         body = attempt.id.encode() * 20 if method == "POST" else b""
@@ -123,8 +123,8 @@
             if reply.is_success:
                 signature = reply.headers.get("Response-Signature")
                 expected = body or f"{service} {path}".encode()
-                right = reply.content == expected or not service
-                attempt.whole = right and signature == f"signed.{attempt.id}"
+                is_expected = reply.content == expected or not service
+                attempt.intact = is_expected and signature == f"signed.{attempt.id}"
         except httpx.HTTPError as error:
-            attempt.problem = type(error).__name__
+            attempt.error = type(error).__name__
         attempt.ended = now_ms()
--- a/tooling/gingerturn_soak/checks.py
+++ b/tooling/gingerturn_soak/checks.py
@@ -1,4 +1,4 @@
-"""The promises, checked by what callers and backend servers saw."""
+"""Checks of the guarantees, on what callers and backend servers observed."""
 
 import collections
 import collections.abc
@@ -7,45 +7,45 @@
 
 from gingerturn_soak import callers, ledger as ledgers, schedule
 
-PROMISES_NOT_RUN = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 APPLY_MS = 2_000.0
-"""A change is in force, and an acknowledged leaving holds, after this time."""
+"""Time after which a change is in force and an acknowledged drain holds."""
 
-TOUCH_MS = 3_000.0
-"""After a fault a node is given this long before bounds on time hold for it again."""
+RECOVERY_MS = 3_000.0
+"""Time after a fault before bounds on time hold again."""
 
-GRACE_MS = 6_000.0
-"""A planned stop takes at most this long."""
+STOP_GRACE_MS = 6_000.0
+"""Longest duration of a planned stop."""
 
-WINDOW_MS = 10_000.0
-RATIO = 0.2
-SLACK = 49.0
-ENDS = 3
-"""Ends under one request until it is kept out, and runs that are borne after it."""
+RETRY_WINDOW_MS = 10_000.0
+RETRY_RATIO = 0.2
+RETRY_SLACK = 49.0
+MAX_CRASHES = 3
+"""Crashes under one request until its quarantine, and runs tolerated after it."""
 
-SERVED_AGAIN = 0.95
-"""Share of the requests that is served once all faults are over."""
+MIN_SERVED_SHARE = 0.95
+"""Share of the requests that must be served once all faults are over."""
 
 
 class Fault(msgspec.Struct):
-    """A step that was carried out.
+    """A step that was run.
 
-    :param node: the machine, empty where all are meant.
-    :param code: exit status of a node that was stopped.
+    :param node: the machine; empty for a step that affects all.
+    :param exit_status: of a node that was stopped.
     """
 
     kind: schedule.Kind
     node: str
     began: float
     ended: float
-    code: int | None = None
+    exit_status: int | None = None
 
 
-class Seen(msgspec.Struct):
-    """Everything that was seen of a run.
+class Observations(msgspec.Struct):
+    """Everything that was observed in a run.
 
-    :param published: when each version of the configuration was acknowledged.
-    :param healed: when all faults were over; 0 where that is not checked.
+    :param published: when each configuration version was acknowledged.
+    :param healed: when all faults were over; 0 where recovery is not checked.
     """
 
     attempts: list[callers.Attempt]
@@ -55,97 +55,101 @@
     healed: float
 
 
-Check = collections.abc.Callable[[Seen], collections.abc.Iterator[str]]
-"""Yields a sentence for each promise that was broken."""
+Check = collections.abc.Callable[[Observations], collections.abc.Iterator[str]]
+"""Yields a sentence for each violation."""
 
 
-def at_most_once(seen: Seen) -> collections.abc.Iterator[str]:
-    """What may not be repeated runs at most once."""
-    for attempt in seen.attempts:
-        runs = seen.ledger.runs[attempt.id]
+def at_most_once(observed: Observations) -> collections.abc.Iterator[str]:
+    """An unrepeatable request runs at most once."""
+    for attempt in observed.attempts:
+        runs = observed.ledger.runs[attempt.id]
         if not attempt.repeatable and runs > 1:
             yield f"{attempt.id} ran {runs} times"
 
 
-def not_run_is_true(seen: Seen) -> collections.abc.Iterator[str]:
-    """What was said not to have run has not run, and never does."""
-    for attempt in seen.attempts:
-        promised = attempt.status in PROMISES_NOT_RUN
-        if not attempt.repeatable and promised and seen.ledger.runs[attempt.id]:
+def not_run_is_true(observed: Observations) -> collections.abc.Iterator[str]:
+    """A request answered as not run has not run, and never does."""
+    for attempt in observed.attempts:
+        promised = attempt.status in NOT_RUN_STATUSES
+        if not attempt.repeatable and promised and observed.ledger.runs[attempt.id]:
             yield f"{attempt.id} was answered {attempt.status} and ran"
 
 
-def answers_are_whole(seen: Seen) -> collections.abc.Iterator[str]:
-    """A success is the backend server's own answer to that request, whole."""
-    for attempt in seen.attempts:
-        if not attempt.whole:
-            yield f"{attempt.id} got another or half an answer"
+def answers_are_whole(observed: Observations) -> collections.abc.Iterator[str]:
+    """A success is the backend server's complete answer to that request."""
+    for attempt in observed.attempts:
+        if not attempt.intact:
+            yield f"{attempt.id} got a wrong or truncated answer"
 
 
-def answers_come_in_time(seen: Seen) -> collections.abc.Iterator[str]:
-    """A caller has its final answer soon after its deadline at the latest."""
-    for attempt in seen.attempts:
-        late = attempt.ended - attempt.began > callers.DEADLINE_MS + TOUCH_MS
-        if late and not _disturbed(seen, attempt.began, attempt.ended):
+def answers_come_in_time(observed: Observations) -> collections.abc.Iterator[str]:
+    """A caller has its final answer shortly after its deadline at the latest."""
+    for attempt in observed.attempts:
+        late = attempt.ended - attempt.began > callers.DEADLINE_MS + RECOVERY_MS
+        if late and not _overlaps_unplanned_fault(
+            observed, attempt.began, attempt.ended
+        ):
             yield f"{attempt.id} waited {attempt.ended - attempt.began:.0f} ms"
 
 
-def leaving_gets_no_work(seen: Seen) -> collections.abc.Iterator[str]:
-    """A backend server whose leaving was acknowledged gets no new work."""
-    left = {entry.instance: entry.at for entry in seen.ledger.of("acknowledged")}
-    for entry in seen.ledger.of("run"):
-        since = entry.at - left.get(entry.instance, entry.at)
+def leaving_gets_no_work(observed: Observations) -> collections.abc.Iterator[str]:
+    """A backend server whose drain was acknowledged gets no new requests."""
+    drained_at = {
+        entry.instance: entry.at for entry in observed.ledger.of("acknowledged")
+    }
+    for entry in observed.ledger.of("run"):
+        since = entry.at - drained_at.get(entry.instance, entry.at)
         if since > APPLY_MS:
-            yield f"{entry.id} came to {entry.instance} {since:.0f} ms after it left"
+            yield f"{entry.id} reached {entry.instance} {since:.0f} ms after its drain"
 
 
-def stops_cut_nothing(seen: Seen) -> collections.abc.Iterator[str]:
-    """A planned stop answers what it took in, and ends in time by itself."""
-    for stop in seen.faults:
+def stops_cut_nothing(observed: Observations) -> collections.abc.Iterator[str]:
+    """A planned stop answers all accepted requests, and the node exits in time."""
+    for stop in observed.faults:
         if stop.kind is not schedule.Kind.NODE_STOP:
             continue
-        end = stop.began + GRACE_MS
-        if _disturbed(seen, stop.began - TOUCH_MS, end):
+        end = stop.began + STOP_GRACE_MS
+        if _overlaps_unplanned_fault(observed, stop.began - RECOVERY_MS, end):
             continue
-        if stop.code != 0:
-            yield f"{stop.node} ended its planned stop with {stop.code}"
-        for attempt in seen.attempts:
-            inside = stop.began - TOUCH_MS < attempt.began < end
-            cut = attempt.problem and seen.ledger.arrivals[attempt.id]
+        if stop.exit_status != 0:
+            yield f"{stop.node} exited from its planned stop with {stop.exit_status}"
+        for attempt in observed.attempts:
+            inside = stop.began - RECOVERY_MS < attempt.began < end
+            cut = attempt.error and observed.ledger.arrivals[attempt.id]
             if attempt.node == stop.node and inside and cut:
-                yield f"{attempt.id} was cut by a planned stop ({attempt.problem})"
+                yield f"{attempt.id} was cut by a planned stop ({attempt.error})"
 
 
-def configuration_in_time(seen: Seen) -> collections.abc.Iterator[str]:
-    """A change is in force in time at every node that is in touch."""
-    for attempt in seen.attempts:
+def configuration_in_time(observed: Observations) -> collections.abc.Iterator[str]:
+    """A change is in force in time at every node that no fault affects."""
+    for attempt in observed.attempts:
         if not attempt.version or attempt.status != 404:
             continue
-        since = attempt.began - seen.published[attempt.version]
-        begin = attempt.began - TOUCH_MS - APPLY_MS
-        near = _out_of_touch(seen, begin, attempt.ended, attempt.node)
-        if since > APPLY_MS and not near:
+        since = attempt.began - observed.published[attempt.version]
+        begin = attempt.began - RECOVERY_MS - APPLY_MS
+        near_fault = _overlaps_fault_of(observed, begin, attempt.ended, attempt.node)
+        if since > APPLY_MS and not near_fault:
             yield (
                 f"{attempt.node} did not know version {attempt.version} after"
                 f" {since:.0f} ms"
             )
 
 
-def configuration_never_back(seen: Seen) -> collections.abc.Iterator[str]:
-    """A node that served by a version never falls behind it again."""
+def configuration_never_back(observed: Observations) -> collections.abc.Iterator[str]:
+    """A node that served by a version never serves by an older one again."""
     served: dict[tuple[str, int, int], float] = {}
-    for attempt in sorted(seen.attempts, key=lambda a: a.ended):
-        place = (attempt.node, attempt.incarnation, attempt.version)
+    for attempt in sorted(observed.attempts, key=lambda a: a.ended):
+        key = (attempt.node, attempt.incarnation, attempt.version)
         if attempt.version and attempt.status == 200:
-            served.setdefault(place, attempt.ended)
-        elif attempt.status == 404 and attempt.began > served.get(place, float("inf")):
-            yield f"{attempt.node} went back behind version {attempt.version}"
+            served.setdefault(key, attempt.ended)
+        elif attempt.status == 404 and attempt.began > served.get(key, float("inf")):
+            yield f"{attempt.node} fell back behind version {attempt.version}"
 
 
-def retries_are_bounded(seen: Seen) -> collections.abc.Iterator[str]:
-    """In no window has a service more repeats than allowed."""
+def retries_are_bounded(observed: Observations) -> collections.abc.Iterator[str]:
+    """The repeats of a service stay within their bound in every window."""
     by_service: dict[str, list[ledgers.Entry]] = collections.defaultdict(list)
-    for entry in seen.ledger.of("arrived"):
+    for entry in observed.ledger.of("arrived"):
         by_service[entry.service].append(entry)
     for service, entries in by_service.items():
         first: set[str] = set()
@@ -155,35 +159,41 @@
             first.add(entry.id)
         for start, _ in arrivals:
             inside = [
-                again for at, again in arrivals if start <= at < start + WINDOW_MS
+                is_repeat
+                for at, is_repeat in arrivals
+                if start <= at < start + RETRY_WINDOW_MS
             ]
-            allowed = RATIO * (len(inside) - sum(inside)) + SLACK
+            allowed = RETRY_RATIO * (len(inside) - sum(inside)) + RETRY_SLACK
             if sum(inside) > allowed:
                 yield f"{service} got {sum(inside)} repeats in a window"
                 break
 
 
-def deadly_requests_are_kept_out(seen: Seen) -> collections.abc.Iterator[str]:
-    """A request under which three backend servers ended reaches at most three more,
-    once nodes had time to hear of the third."""
-    runs = [e.at for e in seen.ledger.of("run") if e.id.startswith(callers.DEADLY_IDS)]
-    if len(runs) < ENDS:
+def deadly_requests_are_kept_out(
+    observed: Observations,
+) -> collections.abc.Iterator[str]:
+    """A request under which three backend servers crashed reaches at most three more,
+    once the report of the third crash has spread."""
+    runs = [
+        e.at for e in observed.ledger.of("run") if e.id.startswith(callers.DEADLY_IDS)
+    ]
+    if len(runs) < MAX_CRASHES:
         return
-    third = runs[ENDS - 1]
-    late = [at for at in runs if at > third + TOUCH_MS]
-    others = [f for f in seen.faults if f.kind is not schedule.Kind.DEADLY]
-    near = any(_touches(f, third - TOUCH_MS, runs[-1]) for f in others)
-    if len(late) > ENDS and not near:
-        yield f"a deadly request ran {len(late)} times more"
+    third = runs[MAX_CRASHES - 1]
+    late = [at for at in runs if at > third + RECOVERY_MS]
+    others = [f for f in observed.faults if f.kind is not schedule.Kind.DEADLY]
+    near_fault = any(_overlaps(f, third - RECOVERY_MS, runs[-1]) for f in others)
+    if len(late) > MAX_CRASHES and not near_fault:
+        yield f"a crashing request ran {len(late)} times after its quarantine"
 
 
-def serves_again(seen: Seen) -> collections.abc.Iterator[str]:
-    """Once the faults are over, requests are served."""
-    if not seen.healed:
+def serves_again(observed: Observations) -> collections.abc.Iterator[str]:
+    """Requests are served once the faults are over."""
+    if not observed.healed:
         return
-    late = [a for a in seen.attempts if a.began > seen.healed and not a.version]
+    late = [a for a in observed.attempts if a.began > observed.healed and not a.version]
     served = sum(attempt.status == 200 for attempt in late)
-    if not late or served < SERVED_AGAIN * len(late):
+    if not late or served < MIN_SERVED_SHARE * len(late):
         yield f"{served} of {len(late)} served after the faults"
 
 
@@ -193,7 +203,7 @@
     answers_are_whole,
     configuration_never_back,
 )
-"""These hold whatever the machine does."""
+"""Checks that hold on any machine."""
 
 TIMING: tuple[Check, ...] = (
     answers_come_in_time,
@@ -204,34 +214,36 @@
     deadly_requests_are_kept_out,
     serves_again,
 )
-"""These hold on a machine that gives the processes their time."""
+"""Checks that need a machine on which the processes are scheduled in time."""
 
 
-def broken(seen: Seen, *, timing: bool) -> list[str]:
-    """Return a sentence for each promise that was broken."""
+def violations(observed: Observations, *, timing: bool) -> list[str]:
+    """Return a sentence for each violation."""
     found: list[str] = []
     for check in SAFETY + (TIMING if timing else ()):
-        found += [f"{check.__name__}: {text}" for text in check(seen)]
+        found += [f"{check.__name__}: {text}" for text in check(observed)]
     return found
 
 
-def _disturbed(seen: Seen, begin: float, end: float) -> bool:
-    """Tell whether any unplanned fault touches a time."""
+def _overlaps_unplanned_fault(observed: Observations, begin: float, end: float) -> bool:
+    """Return whether an unplanned fault overlaps a period."""
     return any(
-        _touches(fault, begin, end)
-        for fault in seen.faults
-        if fault.kind not in schedule.PLANNED
+        _overlaps(fault, begin, end)
+        for fault in observed.faults
+        if fault.kind not in schedule.PLANNED_KINDS
     )
 
 
-def _out_of_touch(seen: Seen, begin: float, end: float, node: str) -> bool:
-    """Tell whether something was done to a node, or to the log, at a time."""
+def _overlaps_fault_of(
+    observed: Observations, begin: float, end: float, node: str
+) -> bool:
+    """Return whether a fault of a node or of the log overlaps a period."""
     return any(
-        _touches(fault, begin, end)
-        for fault in seen.faults
+        _overlaps(fault, begin, end)
+        for fault in observed.faults
         if fault.node in {node, ""} and fault.kind is not schedule.Kind.CONFIGURE
     )
 
 
-def _touches(fault: Fault, begin: float, end: float) -> bool:
-    return fault.began < end and fault.ended + TOUCH_MS > begin
+def _overlaps(fault: Fault, begin: float, end: float) -> bool:
+    return fault.began < end and fault.ended + RECOVERY_MS > begin
--- a/tooling/gingerturn_soak/ledger.py
+++ b/tooling/gingerturn_soak/ledger.py
@@ -1,7 +1,7 @@
-"""What backend servers wrote of the requests that came to them.
+"""The requests that backend servers logged.
 
-They write a line before they begin to work on a request, so that a killed one leaves
-no gap between what ran and what is told.
+A backend server logs a request before it runs it, so that the log of a killed one is
+complete.
 """
 
 import collections
@@ -11,9 +11,9 @@
 
 
 class Entry(msgspec.Struct, frozen=True):
-    """One line of a backend server.
+    """One line of a backend server's log.
 
-    :param event: ``arrived``, ``run`` or ``acknowledged`` (that it leaves).
+    :param event: ``arrived``, ``run`` or ``acknowledged`` (its drain).
     :param at: milliseconds since the epoch.
     """
 
--- a/tooling/gingerturn_soak/proxy.py
+++ b/tooling/gingerturn_soak/proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy on the loopback address that delays, resets, cuts or silences."""
+"""A TCP proxy on the loopback address that delays, drops or resets traffic."""
 
 import asyncio
 import contextlib
@@ -8,22 +8,22 @@
 
 
 class Mode(enum.Enum):
-    """What the proxy does with the bytes of connections, old and new."""
+    """How the proxy treats the bytes of all connections."""
 
     PASS = "pass"
     DELAY = "delay"
     SILENT = "silent"
     ONE_WAY = "one way"
-    """Bytes of the side that called go on; those that come back do not."""
+    """Bytes from the client are forwarded, those from the target are dropped."""
 
 
 class Proxy:
-    """One listening address in front of another.
+    """A listening address in front of a target.
 
-    Invariant: bytes that go on do so in order and unchanged; a connection that was
-    silenced never speaks again, since some of its bytes are gone.
+    Invariant: bytes are forwarded in order and unchanged; a connection that has lost
+    bytes forwards nothing more.
 
-    :param target: port behind it.
+    :param target: port of the target.
     """
 
     def __init__(self, port: int, target: int) -> None:
@@ -36,7 +36,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Begin to listen."""
+        """Start listening."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
 
     async def close(self) -> None:
@@ -47,9 +47,9 @@
         await asyncio.gather(*self._serving)
 
     def set_mode(self, mode: Mode, *, delay_ms: float = 0.0) -> None:
-        """Set what is done from now on.
+        """Set the mode of all connections.
 
-        Connections that lost bytes are reset when they are to pass again.
+        Connections that may have lost bytes are reset.
         """
         if self._mode in {Mode.SILENT, Mode.ONE_WAY}:
             self.reset()
@@ -70,26 +70,30 @@
         self._serving.add(task)
         task.add_done_callback(self._serving.discard)
         try:
-            there = await asyncio.open_connection("127.0.0.1", self._target)
+            target = await asyncio.open_connection("127.0.0.1", self._target)
         except OSError:
             writer.transport.abort()
             return
-        self._writers |= {writer, there[1]}
+        self._writers |= {writer, target[1]}
         await asyncio.gather(
-            self._pump(reader, there[1], back=False),
-            self._pump(there[0], writer, back=True),
+            self._pump(reader, target[1], from_target=False),
+            self._pump(target[0], writer, from_target=True),
         )
-        self._writers -= {writer, there[1]}
+        self._writers -= {writer, target[1]}
 
     async def _pump(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, *, back: bool
+        self,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        *,
+        from_target: bool,
     ) -> None:
         with contextlib.suppress(OSError):
             while data := await reader.read(READ_BYTES):
                 if self._mode is Mode.DELAY:
                     await asyncio.sleep(self._delay_s)
                 silent = self._mode is Mode.SILENT
-                if silent or (self._mode is Mode.ONE_WAY and back):
+                if silent or (self._mode is Mode.ONE_WAY and from_target):
                     continue
                 writer.write(data)
                 await writer.drain()
--- a/tooling/gingerturn_soak/run.py
+++ b/tooling/gingerturn_soak/run.py
@@ -1,4 +1,4 @@
-"""One run of the soak: processes, callers, faults by schedule, and the verdict."""
+"""One run of the soak: processes, callers, scheduled faults and the verdict."""
 
 import asyncio
 import collections.abc
@@ -20,22 +20,22 @@
 SERVICES = ("plans", "porting")
 EXIT_WAIT_S = 8.0
 HEAL_S = 6.0
-"""From the end of the last fault until all are expected to be served again."""
+"""Time from the end of the last fault until requests must be served again."""
 
-AFTER_S = 2.0
-DEADLY_PAUSE_S = 0.15
-RESTORE_S = 0.5
-"""How long the log is away when it is restored from a backup."""
+POST_RECOVERY_S = 2.0
+DEADLY_INTERVAL_S = 0.15
+LOG_DOWNTIME_S = 0.5
+"""How long the log is down while it is restored from a backup."""
 
-ROUTES_KEPT = 6
-"""Versions whose routes a configuration still has."""
+VERSIONED_ROUTES = 6
+"""Number of earlier versions that a configuration still has routes for."""
 
 
 class Run:
-    """A run.
+    """A run of the soak.
 
-    :param folder: where processes write.
-    :param machines: how many nodes, each with a backend server.
+    :param folder: for the settings and logs of the processes.
+    :param machines: number of nodes, each with a backend server.
     """
 
     def __init__(self, folder: pathlib.Path, *, machines: int) -> None:
@@ -44,14 +44,14 @@
         self._faults: list[checks.Fault] = []
         self._published: dict[int, float] = {}
         self._log_link = proxy.Proxy(0, 0)
-        self._links: list[proxy.Proxy] = []
-        self._peers: list[proxy.Proxy] = []
-        self._doors: list[proxy.Proxy] = []
+        self._backend_links: list[proxy.Proxy] = []
+        self._peer_links: list[proxy.Proxy] = []
+        self._caller_links: list[proxy.Proxy] = []
         self._callers: list[callers.Callers] = []
         self._versions: list[int] = []
 
-    async def play(self, steps: list[schedule.Step]) -> checks.Seen:
-        """Play a schedule and return what was seen."""
+    async def play(self, steps: list[schedule.Step]) -> checks.Observations:
+        """Run a schedule and return the observations."""
         (link,) = processes.free_ports(1)
         self._platform = platform_processes.Platform(self._folder, log_link=link)
         with self._platform:
@@ -64,14 +64,14 @@
             async with asyncio.TaskGroup() as group:
                 for each in self._callers:
                     group.create_task(each.run(stop))
-                await self._carry_out(steps)
+                await self._run_steps(steps)
                 await asyncio.sleep(HEAL_S)
                 healed = callers.now_ms()
-                await asyncio.sleep(AFTER_S)
+                await asyncio.sleep(POST_RECOVERY_S)
                 stop.set()
             await self._close()
         files = sorted(self._folder.glob("*.upstream.log"))
-        return checks.Seen(
+        return checks.Observations(
             attempts=[a for each in self._callers for a in each.attempts],
             ledger=ledger.Ledger(files),
             faults=self._faults,
@@ -88,32 +88,37 @@
                 link=link,
                 peers_link=peers,
             )
-            self._links.append(proxy.Proxy(link, machine.ports["app"]))
-            self._peers.append(proxy.Proxy(peers, machine.ports["inbound"]))
-            self._doors.append(proxy.Proxy(door, machine.ports["outbound"]))
-            for each in (self._links, self._peers, self._doors):
+            self._backend_links.append(proxy.Proxy(link, machine.ports["app"]))
+            self._peer_links.append(proxy.Proxy(peers, machine.ports["inbound"]))
+            self._caller_links.append(proxy.Proxy(door, machine.ports["outbound"]))
+            for each in (self._backend_links, self._peer_links, self._caller_links):
                 await each[-1].start()
             self._callers.append(callers.Callers(machine.name, door))
 
     async def _close(self) -> None:
-        for each in (self._log_link, *self._links, *self._peers, *self._doors):
+        for each in (
+            self._log_link,
+            *self._backend_links,
+            *self._peer_links,
+            *self._caller_links,
+        ):
             await each.close()
 
-    async def _carry_out(self, steps: list[schedule.Step]) -> None:
-        """Begin each step at its time; they overlap as they come."""
+    async def _run_steps(self, steps: list[schedule.Step]) -> None:
+        """Start each step at its time; steps may overlap."""
         begun = asyncio.get_running_loop().time()
         async with asyncio.TaskGroup() as group:
             for step in steps:
                 wait = begun + step.at - asyncio.get_running_loop().time()
                 await asyncio.sleep(max(0.0, wait))
-                group.create_task(self._do(step))
+                group.create_task(self._run_step(step))
 
-    async def _do(self, step: schedule.Step) -> None:
-        whole = step.kind.value.startswith("log-")
+    async def _run_step(self, step: schedule.Step) -> None:
+        affects_all = step.kind.value.startswith("log-")
         machine = self._machine(step.target)
         fault = checks.Fault(
             kind=step.kind,
-            node="" if whole else machine.name,
+            node="" if affects_all else machine.name,
             began=callers.now_ms(),
             ended=float("inf"),
         )
@@ -125,34 +130,34 @@
         return list(self._platform.machines.values())[target]
 
     def _configure(self) -> None:
-        kept = self._versions[-ROUTES_KEPT:]
-        # The number that the next configuration will have is in one of its routes.
+        recent = self._versions[-VERSIONED_ROUTES:]
+        # A configuration has a route with its own version, which callers probe.
         version = self._platform.next_version
         routes = [_route("r-a", "/a/", "plans"), _route("r-p", "/p/", "porting")]
-        routes += [_route(f"r-{v}", f"/v/{v}/", "plans") for v in [*kept, version]]
+        routes += [_route(f"r-{v}", f"/v/{v}/", "plans") for v in [*recent, version]]
         self._platform.configure(*routes)
         self._versions.append(version)
         self._published[version] = callers.now_ms()
         for each in self._callers:
             each.version = version
 
-    # What each kind of step does.
+    # Actions of the steps.
 
     async def _node_kill(self, step: schedule.Step, fault: checks.Fault) -> None:
         machine = self._machine(step.target)
-        await self._end(machine.node, signal.SIGKILL)
-        await asyncio.sleep(step.lasts)
+        await self._signal_and_wait(machine.node, signal.SIGKILL)
+        await asyncio.sleep(step.duration_s)
         self._start_node(machine, step.target)
 
     async def _node_stop(self, step: schedule.Step, fault: checks.Fault) -> None:
         machine = self._machine(step.target)
         if machine.node.poll() is not None:
             return
-        fault.code = await self._end(machine.node, signal.SIGTERM)
+        fault.exit_status = await self._signal_and_wait(machine.node, signal.SIGTERM)
         self._start_node(machine, step.target)
 
     async def _node_pause(self, step: schedule.Step, fault: checks.Fault) -> None:
-        await self._pause(self._machine(step.target).node, step.lasts)
+        await self._pause(self._machine(step.target).node, step.duration_s)
 
     async def _node_reload(self, step: schedule.Step, fault: checks.Fault) -> None:
         node = self._machine(step.target).node
@@ -161,64 +166,64 @@
 
     async def _backend_kill(self, step: schedule.Step, fault: checks.Fault) -> None:
         machine = self._machine(step.target)
-        await self._end(machine.upstream, signal.SIGKILL)
-        await asyncio.sleep(step.lasts)
+        await self._signal_and_wait(machine.upstream, signal.SIGKILL)
+        await asyncio.sleep(step.duration_s)
         if machine.upstream.poll() is not None:
             self._platform.restart_upstream(machine)
 
     async def _backend_pause(self, step: schedule.Step, fault: checks.Fault) -> None:
-        await self._pause(self._machine(step.target).upstream, step.lasts)
+        await self._pause(self._machine(step.target).upstream, step.duration_s)
 
     async def _backend_drain(self, step: schedule.Step, fault: checks.Fault) -> None:
-        """Let a backend server leave, serve on for a while, and be replaced."""
+        """Drain a backend server, let it serve for a while, and replace it."""
         machine = self._machine(step.target)
-        await self.tell(machine, state="draining")
-        await asyncio.sleep(checks.APPLY_MS / 1000.0 + step.lasts)
+        await self.control_backend(machine, state="draining")
+        await asyncio.sleep(checks.APPLY_MS / 1000.0 + step.duration_s)
         await self._backend_kill(step, fault)
 
     async def _backend_refuse(self, step: schedule.Step, fault: checks.Fault) -> None:
-        await self._tell_for(step, refuse=True)
+        await self._control_for(step, refuse=True)
 
     async def _backend_cut(self, step: schedule.Step, fault: checks.Fault) -> None:
-        await self._tell_for(step, cut=True)
+        await self._control_for(step, cut=True)
 
     async def _backend_link(self, step: schedule.Step, fault: checks.Fault) -> None:
-        await self._disturb(self._links[step.target], step)
+        await self._degrade_link(self._backend_links[step.target], step)
 
     async def _backend_reset(self, step: schedule.Step, fault: checks.Fault) -> None:
-        self._links[step.target].reset()
+        self._backend_links[step.target].reset()
 
     async def _peers_link(self, step: schedule.Step, fault: checks.Fault) -> None:
-        await self._disturb(self._peers[step.target], step)
+        await self._degrade_link(self._peer_links[step.target], step)
 
     async def _peers_reset(self, step: schedule.Step, fault: checks.Fault) -> None:
-        self._peers[step.target].reset()
+        self._peer_links[step.target].reset()
 
     async def _caller_reset(self, step: schedule.Step, fault: checks.Fault) -> None:
-        self._doors[step.target].reset()
+        self._caller_links[step.target].reset()
 
     async def _log_down(self, step: schedule.Step, fault: checks.Fault) -> None:
-        await self._fault_for(step, down=True)
+        await self._inject_log_fault(step, down=True)
 
     async def _log_silent(self, step: schedule.Step, fault: checks.Fault) -> None:
-        await self._fault_for(step, silent=True)
+        await self._inject_log_fault(step, silent=True)
 
     async def _log_slow(self, step: schedule.Step, fault: checks.Fault) -> None:
-        await self._fault_for(step, delay_ms=200.0 * step.lasts)
+        await self._inject_log_fault(step, delay_ms=200.0 * step.duration_s)
 
     async def _log_loses(self, step: schedule.Step, fault: checks.Fault) -> None:
         await asyncio.to_thread(self._platform.fault, lose_answers=3)
 
     async def _log_on_link(self, step: schedule.Step, fault: checks.Fault) -> None:
-        await self._disturb(self._log_link, step)
+        await self._degrade_link(self._log_link, step)
 
     async def _log_restored(self, step: schedule.Step, fault: checks.Fault) -> None:
-        """Restore the log from a backup; the operator publishes again."""
-        await asyncio.to_thread(self._platform.copy_store)
-        await asyncio.sleep(step.lasts)
+        """Restore the log from a backup, then publish a configuration."""
+        await asyncio.to_thread(self._platform.back_up_store)
+        await asyncio.sleep(step.duration_s)
         await asyncio.to_thread(self._platform.fault, down=True)
         await asyncio.to_thread(self._platform.restore_store)
-        await asyncio.sleep(RESTORE_S)
+        await asyncio.sleep(LOG_DOWNTIME_S)
         await asyncio.to_thread(self._platform.fault, down=False)
         self._configure()
 
@@ -226,49 +231,51 @@
         self._configure()
 
     async def _deadly(self, step: schedule.Step, fault: checks.Fault) -> None:
-        """Send one request again and again, each time to another machine, and start
-        the backend servers that end under it."""
+        """Send a crashing request through the machines in turn, and restart the backend
+        servers that crash."""
         loop = asyncio.get_running_loop()
         begun = loop.time()
         number = 0
         async with asyncio.TaskGroup() as group:
-            while loop.time() < begun + step.lasts:
+            while loop.time() < begun + step.duration_s:
                 each = self._callers[number % len(self._callers)]
                 group.create_task(each.send_deadly(number))
                 number += 1
-                await asyncio.sleep(DEADLY_PAUSE_S)
+                await asyncio.sleep(DEADLY_INTERVAL_S)
                 for machine in self._platform.machines.values():
                     if machine.upstream.poll() == platform_upstream.DEADLY_EXIT:
                         self._platform.restart_upstream(machine)
 
-    async def _disturb(self, link: proxy.Proxy, step: schedule.Step) -> None:
-        """Disturb a link in the way that the length of the step picks."""
+    async def _degrade_link(self, link: proxy.Proxy, step: schedule.Step) -> None:
+        """Degrade a link, in a mode picked by the duration of the step."""
         modes = (proxy.Mode.DELAY, proxy.Mode.SILENT, proxy.Mode.ONE_WAY)
-        mode = modes[int(step.lasts * 1_000) % len(modes)]
-        link.set_mode(mode, delay_ms=100.0 * step.lasts)
-        await asyncio.sleep(step.lasts)
+        mode = modes[int(step.duration_s * 1_000) % len(modes)]
+        link.set_mode(mode, delay_ms=100.0 * step.duration_s)
+        await asyncio.sleep(step.duration_s)
         link.set_mode(proxy.Mode.PASS)
 
-    async def _fault_for(self, step: schedule.Step, **fault: object) -> None:
+    async def _inject_log_fault(self, step: schedule.Step, **fault: object) -> None:
         await asyncio.to_thread(self._platform.fault, **fault)
-        await asyncio.sleep(step.lasts)
-        healed = {name: type(value)() for name, value in fault.items()}
-        await asyncio.to_thread(self._platform.fault, **healed)
+        await asyncio.sleep(step.duration_s)
+        cleared = {name: type(value)() for name, value in fault.items()}
+        await asyncio.to_thread(self._platform.fault, **cleared)
 
-    async def _tell_for(self, step: schedule.Step, **what: object) -> None:
+    async def _control_for(self, step: schedule.Step, **fields: object) -> None:
         machine = self._machine(step.target)
-        await self.tell(machine, **what)
-        await asyncio.sleep(step.lasts)
-        await self.tell(machine, **dict.fromkeys(what, False))
+        await self.control_backend(machine, **fields)
+        await asyncio.sleep(step.duration_s)
+        await self.control_backend(machine, **dict.fromkeys(fields, False))
 
-    async def tell(self, machine: platform_processes.Machine, **what: object) -> None:
-        """Tell a backend server what to do, if it runs.
+    async def control_backend(
+        self, machine: platform_processes.Machine, **fields: object
+    ) -> None:
+        """Set the behaviour of a backend server, if it runs.
 
-        One that was started a moment ago may not listen yet; then the step is void.
+        One that has just been started may not listen yet; the step is then skipped.
         """
         if machine.upstream.poll() is None:
             with contextlib.suppress(httpx.TransportError):
-                await asyncio.to_thread(machine.tell_upstream, **what)
+                await asyncio.to_thread(machine.tell_upstream, **fields)
 
     async def _pause(self, process: subprocess.Popen[bytes], lasts: float) -> None:
         if process.poll() is None:
@@ -276,10 +283,10 @@
             await asyncio.sleep(lasts)
             process.send_signal(signal.SIGCONT)
 
-    async def _end(
+    async def _signal_and_wait(
         self, process: subprocess.Popen[bytes], number: signal.Signals
     ) -> int | None:
-        """Signal a process, and return its exit status once it ends."""
+        """Signal a process and return its exit status, if it exits in time."""
         if process.poll() is None:
             process.send_signal(number)
         try:
@@ -339,16 +346,16 @@
 
 
 class Verdict(msgspec.Struct):
-    """What a run came to.
+    """The result of a run.
 
-    :param broken: a sentence for each promise that was broken.
+    :param violations: a sentence for each violation.
     """
 
     seed: int
     attempts: int
     served: int
     steps: list[str]
-    broken: list[str]
+    violations: list[str]
 
 
 def play(
@@ -361,7 +368,7 @@
     deadly: bool = False,
     restored: bool = False,
 ) -> Verdict:
-    """Play the run of a seed."""
+    """Play the run of a seed and check it."""
     steps = schedule.draw(
         seed,
         machines=machines,
@@ -370,11 +377,11 @@
         restored=restored,
     )
     run = Run(folder, machines=machines)
-    seen = asyncio.run(run.play(steps))
+    observed = asyncio.run(run.play(steps))
     return Verdict(
         seed=seed,
-        attempts=len(seen.attempts),
-        served=sum(attempt.status == 200 for attempt in seen.attempts),
-        steps=[f"{s.at:g} {s.kind.value} m{s.target} {s.lasts:g}" for s in steps],
-        broken=checks.broken(seen, timing=timing),
+        attempts=len(observed.attempts),
+        served=sum(attempt.status == 200 for attempt in observed.attempts),
+        steps=[f"{s.at:g} {s.kind.value} m{s.target} {s.duration_s:g}" for s in steps],
+        violations=checks.violations(observed, timing=timing),
     )
--- a/tooling/gingerturn_soak/schedule.py
+++ b/tooling/gingerturn_soak/schedule.py
@@ -1,4 +1,4 @@
-"""What happens when: drawn from a seed, and the same for the same seed."""
+"""Schedules of faults, drawn from a seed and reproducible by it."""
 
 import enum
 import random
@@ -7,7 +7,7 @@
 
 
 class Kind(enum.Enum):
-    """What is done to which process or connection."""
+    """What a step does to a process or connection."""
 
     NODE_KILL = "node-kill"
     NODE_STOP = "node-stop"
@@ -33,48 +33,47 @@
     LOG_RESTORED = "log-restored"
 
 
-DRAWN_APART = frozenset({Kind.DEADLY, Kind.LOG_RESTORED})
-"""Drawn with chances of their own, so that the seeds that once broke a promise keep
-their schedules."""
+SEPARATELY_DRAWN = frozenset({Kind.DEADLY, Kind.LOG_RESTORED})
+"""Drawn separately: enabling them leaves the other steps of a seed unchanged."""
 
-DRAWN = [kind for kind in Kind if kind not in DRAWN_APART]
+COMMON_KINDS = [kind for kind in Kind if kind not in SEPARATELY_DRAWN]
 
 DEADLY_SHARE = 0.3
-"""Of the runs that may have one."""
+"""Share of the runs with crashing requests, where these are enabled."""
 
 DEADLY_S = 9.0
-"""A deadly request comes for longer than all nodes may take to hear of its ends."""
+"""Duration of crashing requests: longer than reports of crashes take to spread."""
 
-PLANNED = frozenset(
+PLANNED_KINDS = frozenset(
     {Kind.NODE_STOP, Kind.NODE_RELOAD, Kind.BACKEND_DRAIN, Kind.CONFIGURE}
 )
-"""Planned work: what it cuts is the system's own fault."""
+"""Planned operations, which must not cut requests."""
 
-SERIES = frozenset({Kind.NODE_STOP, Kind.NODE_RELOAD, Kind.CONFIGURE})
-"""These come in series too, with little time between."""
+REPEATED_KINDS = frozenset({Kind.NODE_STOP, Kind.NODE_RELOAD, Kind.CONFIGURE})
+"""Kinds that are repeated after a short time."""
 
 RESTORED_SHARE = 0.5
-"""Of the runs in which the log may be restored from a backup."""
+"""Share of the runs with restorations of the log, where these are enabled."""
 
-MOST_RESTORES = 3
-"""A log that was restored may be restored again a moment later."""
+MAX_RESTORES = 3
+"""Most restorations of the log in one run."""
 
-QUIET_S = 2.0
-"""Before the first step, so that all are ready."""
+WARM_UP_S = 2.0
+"""Time before the first step, in which all nodes become ready."""
 
 
 class Step(msgspec.Struct, frozen=True):
-    """One thing that is done.
+    """One step of a schedule.
 
     :param at: seconds from the start of traffic.
-    :param target: number of the machine.
-    :param lasts: seconds until it is undone, where it can be.
+    :param target: index of the machine.
+    :param duration_s: time until it is undone, where it can be.
     """
 
     at: float
     kind: Kind
     target: int
-    lasts: float
+    duration_s: float
 
 
 def draw(
@@ -87,43 +86,45 @@
 ) -> list[Step]:
     """Return the steps of a run, in order of time.
 
-    :param deadly: there may be a request that ends backend servers.
-    :param restored: the log may be restored from a backup.
+    :param deadly: whether requests that crash backend servers may be drawn.
+    :param restored: whether restorations of the log may be drawn.
     """
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     steps: list[Step] = []
-    for _ in range(chance.randint(4, 8)):
-        kind = chance.choice(DRAWN)
-        at = chance.uniform(QUIET_S, length_s)
-        times = chance.randint(2, 4) if kind in SERIES else 1
-        gap = chance.uniform(0.2, 1.5)
+    for _ in range(rng.randint(4, 8)):
+        kind = rng.choice(COMMON_KINDS)
+        at = rng.uniform(WARM_UP_S, length_s)
+        times = rng.randint(2, 4) if kind in REPEATED_KINDS else 1
+        gap = rng.uniform(0.2, 1.5)
         for number in range(times):
             steps.append(
                 Step(
                     at=round(at + number * gap, 3),
                     kind=kind,
-                    target=chance.randrange(machines),
-                    lasts=round(chance.uniform(0.3, 4.0), 3),
+                    target=rng.randrange(machines),
+                    duration_s=round(rng.uniform(0.3, 4.0), 3),
                 )
             )
-    if deadly and chance.random() < DEADLY_SHARE:
-        at = round(chance.uniform(QUIET_S, length_s), 3)
-        steps.append(Step(at=at, kind=Kind.DEADLY, target=0, lasts=DEADLY_S))
+    if deadly and rng.random() < DEADLY_SHARE:
+        at = round(rng.uniform(WARM_UP_S, length_s), 3)
+        steps.append(Step(at=at, kind=Kind.DEADLY, target=0, duration_s=DEADLY_S))
     if restored:
         steps += _restores(random.Random(f"restored {seed}"), length_s)
     return sorted(steps, key=lambda step: step.at)
 
 
-def _restores(chance: random.Random, length_s: float) -> list[Step]:
-    """Return when the log is restored from a backup, and how old that is."""
-    if chance.random() >= RESTORED_SHARE:
+def _restores(rng: random.Random, length_s: float) -> list[Step]:
+    """Return restorations of the log; the duration of a step is its backup's age."""
+    if rng.random() >= RESTORED_SHARE:
         return []
-    at = chance.uniform(QUIET_S, length_s)
+    at = rng.uniform(WARM_UP_S, length_s)
     steps = []
-    for _ in range(chance.randint(1, MOST_RESTORES)):
-        lasts = round(chance.uniform(0.2, 4.0), 3)
+    for _ in range(rng.randint(1, MAX_RESTORES)):
+        duration_s = round(rng.uniform(0.2, 4.0), 3)
         steps.append(
-            Step(at=round(at, 3), kind=Kind.LOG_RESTORED, target=0, lasts=lasts)
+            Step(
+                at=round(at, 3), kind=Kind.LOG_RESTORED, target=0, duration_s=duration_s
+            )
         )
-        at += lasts + chance.uniform(0.5, 4.0)
+        at += duration_s + rng.uniform(0.5, 4.0)
     return steps
--- a/tooling/gingerturn_standins/log_service.py
+++ b/tooling/gingerturn_standins/log_service.py
@@ -1,7 +1,7 @@
 """A stand-in for the platform's append-only log service.
 
 ``POST /streams/NAME/records`` appends the body; ``GET /streams/NAME/records`` with
-``from``, ``max`` and ``wait_ms`` reads. ``POST /control`` sets the faults.
+``from``, ``max`` and ``wait_ms`` reads. ``POST /control`` sets faults.
 """
 
 import asyncio
@@ -19,12 +19,12 @@
 
 @dataclasses.dataclass
 class Faults:
-    """The faults that can be set.
+    """Faults that can be injected.
 
     :param down: refuse everything with 503.
     :param silent: accept requests and never answer.
     :param delay_ms: wait before each answer.
-    :param lose_acks: the next so many appends take effect without an answer.
+    :param lose_acks: number of following appends that take effect unanswered.
     """
 
     down: bool = False
@@ -75,7 +75,7 @@
         if len(pieces) != 4 or pieces[1] != "streams" or pieces[3] != "records":
             return http_server.Response(404, b'{"error": "no such resource"}')
         stream = self.streams.setdefault(pieces[2], Stream())
-        self._retain(stream)
+        self._drop_expired(stream)
         if request.method == "POST":
             return self._append(stream, request.body)
         query = {k: int(v) for k, v in urllib.parse.parse_qsl(parts.query)}
@@ -126,7 +126,7 @@
         }
         return http_server.Response(200, json.dumps(reply).encode())
 
-    def _retain(self, stream: Stream) -> None:
+    def _drop_expired(self, stream: Stream) -> None:
         horizon = time.monotonic() - self._retention_s
         while stream.records and stream.records[0][0] < horizon:
             stream.records.pop(0)
@@ -138,7 +138,7 @@
 @click.option("--port", default=7000)
 @click.option("--retention-s", default=86_400.0)
 def main(host: str, port: int, retention_s: float) -> None:
-    """Run the log service's stand-in."""
+    """Run the stand-in of the log service."""
 
     async def run() -> None:
         service = LogService(retention_s=retention_s)
