--- a/tooling/gingerturn_demo/scene.py
+++ b/tooling/gingerturn_demo/scene.py
@@ -1,4 +1,4 @@
-"""One demonstration: processes, load, a trigger, recovery, and what was seen."""
+"""Scenarios of the demonstration: processes, load, a trigger and recovery."""
 
 import asyncio
 import collections
@@ -17,14 +17,14 @@
 
 WARM_S = 6
 TRIGGER_S = 10
-AFTER_S = 12
+RECOVERY_S = 12
 CALLER_ATTEMPTS = 4
 CALLER_TIMEOUT_S = 4.0
 
 
 @dataclasses.dataclass(frozen=True)
 class Upstreams:
-    """A service of the demonstration."""
+    """A service of a scenario and the zones of its upstreams."""
 
     service: str
     zones: tuple[str, ...]
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Load:
-    """One kind of root and how many of it a second, normally and in the surge."""
+    """A kind of root request and its rate per second, normally and in the surge."""
 
     name: str
     service: str
@@ -47,8 +47,8 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Scene:
-    """What is to be played.
+class Scenario:
+    """A scenario to play.
 
     :param deepest: service that is slowed while the surge lasts.
     """
@@ -62,27 +62,27 @@
 
 @dataclasses.dataclass
 class Outcome:
-    """What was seen; lists hold one number a second."""
+    """The result of a scenario; lists hold one number a second."""
 
-    scene: Scene
+    scenario: Scenario
     goodput: dict[str, list[int]]
     refused: dict[str, list[int]]
     sent: dict[str, int]
     complete: dict[str, int]
     attempts: list[float]
-    longest_refusal_ms: float
+    max_refusal_ms: float
     keys: int
-    keys_run: int
-    keys_twice: int
+    keys_executed: int
+    keys_executed_twice: int
     unknown: int
     revision_s: float
-    drained_exit: int
-    explained: str
+    stop_exit_status: int
+    explanation: str
 
 
-def brolga() -> Scene:
+def brolga() -> Scenario:
     """Return Brolga Connect at small size."""
-    return Scene(
+    return Scenario(
         name="brolga",
         document=graphs.BROLGA_DOCUMENT.replace('key = "generated"\n', ""),
         upstreams=(
@@ -106,9 +106,9 @@
     )
 
 
-def coopcarga() -> Scene:
+def coopcarga() -> Scenario:
     """Return Coopcarga Nordeste at small size."""
-    return Scene(
+    return Scenario(
         name="coopcarga",
         document=graphs.COOPCARGA_DOCUMENT.replace('key = "generated"\n', ""),
         upstreams=(
@@ -133,7 +133,7 @@
     )
 
 
-SCENES = {"brolga": brolga, "coopcarga": coopcarga}
+SCENARIOS = {"brolga": brolga, "coopcarga": coopcarga}
 
 
 def new_key() -> str:
@@ -143,18 +143,18 @@
     return str(uuid.UUID(int=(stamp << 80) | (7 << 76) | (2 << 62) | low))
 
 
-class _Player:
-    """Callers that retry hard, and their count."""
+class _LoadGenerator:
+    """Callers that retry at once, and counts of their requests."""
 
-    def __init__(self, scene: Scene, entries: list[str], seconds: int) -> None:
-        self.scene = scene
+    def __init__(self, scenario: Scenario, entries: list[str], seconds: int) -> None:
+        self.scenario = scenario
         self.entries = entries
-        names = [load.name for load in scene.loads]
+        names = [load.name for load in scenario.loads]
         self.goodput = {name: [0] * (seconds + 30) for name in names}
         self.refused = {name: [0] * (seconds + 30) for name in names}
         self.sent = dict.fromkeys(names, 0)
         self.complete = dict.fromkeys(names, 0)
-        self.longest_refusal_ms = 0.0
+        self.max_refusal_ms = 0.0
         self.keys: list[str] = []
         self.unknown = 0
         self.refused_decision = ""
@@ -169,7 +169,7 @@
         self, client: httpx.AsyncClient, load: Load, surge: tuple[float, float]
     ) -> None:
         """Send roots of one kind at its rate until the end."""
-        end = self.begun + WARM_S + TRIGGER_S + AFTER_S
+        end = self.begun + WARM_S + TRIGGER_S + RECOVERY_S
         while time.monotonic() < end:
             now = time.monotonic() - self.begun
             rate = load.surge if surge[0] <= now < surge[1] else load.rate
@@ -204,24 +204,24 @@
                 self.goodput[load.name][self.second()] += 1
                 self.complete[load.name] += 1
                 return
-            self._note_failure(load, reply, begun)
-        # Callers retry at once, whatever Retry-After says; that is the point here.
+            self._record_failure(load, reply, begun)
+        # Callers retry at once and ignore Retry-After.
 
-    def _note_failure(self, load: Load, reply: httpx.Response, begun: float) -> None:
+    def _record_failure(self, load: Load, reply: httpx.Response, begun: float) -> None:
         self.refused[load.name][self.second()] += 1
         outcome = reply.headers.get("gingerturn-outcome", "")
         if outcome == "not-run":
             elapsed = (time.monotonic() - begun) * 1000.0
-            self.longest_refusal_ms = max(self.longest_refusal_ms, elapsed)
+            self.max_refusal_ms = max(self.max_refusal_ms, elapsed)
             self.refused_decision = reply.headers.get("gingerturn-decision", "")
         else:
             self.unknown += 1
 
 
-def play(scene: Scene, folder: pathlib.Path) -> Outcome:
-    """Play a scene and return what was seen."""
+def play(scenario: Scenario, folder: pathlib.Path) -> Outcome:
+    """Play a scenario and return its result."""
     with processes.Cluster(folder) as cluster:
-        for upstreams in scene.upstreams:
+        for upstreams in scenario.upstreams:
             for index, zone in enumerate(upstreams.zones):
                 cluster.add(
                     f"{upstreams.service}-{index + 1}",
@@ -236,68 +236,71 @@
             processes.wait_for(f"{node.admin}/status")
         cluster.wait_ready(members=len(cluster.nodes))
         begun = time.monotonic()
-        cluster.publish(scene.name, scene.document)
+        cluster.publish(scenario.name, scenario.document)
         revision_s = time.monotonic() - begun
         time.sleep(0.3)
-        return asyncio.run(_play(scene, cluster, revision_s))
+        return asyncio.run(_play(scenario, cluster, revision_s))
 
 
-async def _play(scene: Scene, cluster: processes.Cluster, revision_s: float) -> Outcome:
+async def _play(
+    scenario: Scenario, cluster: processes.Cluster, revision_s: float
+) -> Outcome:
     entries = [node.entry for node in cluster.nodes.values()]
-    player = _Player(scene, entries, WARM_S + TRIGGER_S + AFTER_S)
+    player = _LoadGenerator(scenario, entries, WARM_S + TRIGGER_S + RECOVERY_S)
     attempts: list[float] = []
     limits = httpx.Limits(max_connections=400, max_keepalive_connections=400)
     async with httpx.AsyncClient(trust_env=False, limits=limits) as client:
         surge = (float(WARM_S), float(WARM_S + TRIGGER_S))
         offers = [
             asyncio.create_task(player.offer(client, load, surge))
-            for load in scene.loads
+            for load in scenario.loads
         ]
-        sampling = asyncio.create_task(_sample(client, scene, cluster, attempts))
+        sampling = asyncio.create_task(_sample(client, scenario, cluster, attempts))
         await asyncio.sleep(WARM_S)
-        await _slow(client, scene, cluster, 3.0)
+        await _slow(client, scenario, cluster, 3.0)
         await asyncio.sleep(TRIGGER_S)
-        await _slow(client, scene, cluster, 1.0)
-        await asyncio.sleep(AFTER_S / 2)
-        drained = await _drain_one(scene, cluster, player)
+        await _slow(client, scenario, cluster, 1.0)
+        await asyncio.sleep(RECOVERY_S / 2)
+        drained = await _stop_node(scenario, cluster, player)
         await asyncio.gather(*offers)
         sampling.cancel()
         explained = await _explain(client, cluster, player.refused_decision)
         counts = await _executions(client, cluster)
     return Outcome(
-        scene=scene,
+        scenario=scenario,
         goodput=player.goodput,
         refused=player.refused,
         sent=player.sent,
         complete=player.complete,
         attempts=attempts,
-        longest_refusal_ms=player.longest_refusal_ms,
+        max_refusal_ms=player.max_refusal_ms,
         keys=len(player.keys),
-        keys_run=sum(1 for key in player.keys if counts[key]),
-        keys_twice=sum(1 for key in player.keys if counts[key] > 1),
+        keys_executed=sum(1 for key in player.keys if counts[key]),
+        keys_executed_twice=sum(1 for key in player.keys if counts[key] > 1),
         unknown=player.unknown,
         revision_s=revision_s,
-        drained_exit=drained,
-        explained=explained,
+        stop_exit_status=drained,
+        explanation=explained,
     )
 
 
-def _of_service(
-    cluster: processes.Cluster, service: str
-) -> list[processes.NodeProcess]:
+def _nodes_of(cluster: processes.Cluster, service: str) -> list[processes.NodeProcess]:
     return [n for name, n in cluster.nodes.items() if name.startswith(service)]
 
 
 async def _slow(
-    client: httpx.AsyncClient, scene: Scene, cluster: processes.Cluster, factor: float
+    client: httpx.AsyncClient,
+    scenario: Scenario,
+    cluster: processes.Cluster,
+    factor: float,
 ) -> None:
-    for node in _of_service(cluster, scene.deepest):
+    for node in _nodes_of(cluster, scenario.deepest):
         await client.post(f"{node.backend_url}/control", json={"slow": factor})
 
 
 async def _sample(
     client: httpx.AsyncClient,
-    scene: Scene,
+    scenario: Scenario,
     cluster: processes.Cluster,
     attempts: list[float],
 ) -> None:
@@ -305,7 +308,7 @@
     before = collections.Counter[str]()
     while True:
         total = collections.Counter[str]()
-        for node in _of_service(cluster, scene.deepest):
+        for node in _nodes_of(cluster, scenario.deepest):
             reply = await client.get(f"{node.backend_url}/counts")
             counts = reply.json()
             total["roots"] += counts["roots"]
@@ -317,12 +320,14 @@
         await asyncio.sleep(1.0)
 
 
-async def _drain_one(scene: Scene, cluster: processes.Cluster, player: _Player) -> int:
-    """Stop one node of the first service as planned, under load.
+async def _stop_node(
+    scenario: Scenario, cluster: processes.Cluster, player: _LoadGenerator
+) -> int:
+    """Stop one node of the first service under load.
 
     :return: its exit status: 0 when nothing was cut.
     """
-    node = _of_service(cluster, scene.upstreams[0].service)[-1]
+    node = _nodes_of(cluster, scenario.upstreams[0].service)[-1]
     player.entries.remove(node.entry)
     await asyncio.sleep(0.2)
     node.node.send_signal(signal.SIGTERM)
@@ -334,7 +339,7 @@
 async def _explain(
     client: httpx.AsyncClient, cluster: processes.Cluster, decision: str
 ) -> str:
-    """Ask another node than the one that decided why it did."""
+    """Query another node for the explanation of a decision."""
     if not decision:
         return "nothing was refused"
     decider = decision.rpartition(":")[0]
